--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 PURE = $(patsubst %,tests/test_%.py,accord cold design gossip rules)
 PROCESSES = $(patsubst %,tests/test_%.py,etcd fleet known_red members processes rehearsal)
 test: .venv-ci/made
+	.venv-ci/bin/ruff format --no-cache --check --quiet .
 	.venv-ci/bin/ruff check --no-cache .
 	@mkdir -p logs; $(PYTEST) $(PURE) > logs/pure.txt 2>&1 & pure=$$!; \
 	$(PYTEST) $(PROCESSES) > logs/processes.txt 2>&1 & processes=$$!; \
--- a/herongap/gossip/gossip.py
+++ b/herongap/gossip/gossip.py
@@ -221,8 +221,7 @@
     # Judging.
 
     def _noticed(self, now: float) -> None:
-        """Whether this process was stopped: then nothing that was out counts, and it asks before it judges.
-        """
+        """Whether this process was stopped. Then nothing that was out counts, and it asks before judging."""
         late = now - max(self.last, min(self.due, now))
         gap, self.last = now - self.last, now
         if not self.terms.notices or late <= self.terms.stopped or gap <= self.terms.stopped:
--- a/herongap/rules/__init__.py
+++ b/herongap/rules/__init__.py
@@ -11,4 +11,5 @@
  6. floods: a member asking far beyond its usual rate gets floor rungs, on spare room only
 Files name each other relatively: an experiment can load another version beside it.
 """
+
 from .controller import Controller as Controller
--- a/herongap/rules/controller.py
+++ b/herongap/rules/controller.py
@@ -1,4 +1,5 @@
 """The controller: each input only updates what is known; the host then pulls decisions until none is left."""
+
 from heapq import heappop, heappush
 
 from herongap.interface import Asked, Charter, Ending, Listed, Load
@@ -64,8 +65,17 @@
             vw.playing, vw.stepped = True, now
             self.table.cells[vw.package.name, streamer][0] += 1
 
-    def ended(self, now: float, viewing: int, number: int, streamer: int, how: Ending, taken: float,
-              closed: bool, load: Load | None) -> None:
+    def ended(
+        self,
+        now: float,
+        viewing: int,
+        number: int,
+        streamer: int,
+        how: Ending,
+        taken: float,
+        closed: bool,
+        load: Load | None,
+    ) -> None:
         k, st = self.known, self.streamers[streamer]
         k.loaded(now, st, load)
         if (vw := self.viewings.get(viewing)) is None:
--- a/herongap/rules/known.py
+++ b/herongap/rules/known.py
@@ -1,12 +1,13 @@
 """What one controller knows, shared by all its parts: streamers, pipes, viewings, what it is yet to say."""
+
 from collections import Counter, defaultdict, deque
 from statistics import fmean, median_low
 from zlib import crc32
 
 from herongap.interface import Asked, Charter, Listed, Load, Package, Standing
 
-SILENT = 0.4            # share delivered under which a streamer counts as failing, not as full
-AWAY = 4.0              # how long a failing streamer is set aside, and half as much more by chance
+SILENT = 0.4  # share delivered under which a streamer counts as failing, not as full
+AWAY = 4.0  # how long a failing streamer is set aside, and half as much more by chance
 FADE, FORGET = 16.0, 120.0  # seconds: in which word of others' use fades; until one that left is forgotten
 
 
@@ -57,8 +58,10 @@
         self.rates = [kb * p.scale for kb in ladder]
         self.adds = join_adds if p.live else 1.0
         # Value for each kB a second that the step up to a rung brings: cheapest steps are cut first.
-        self.gain = [max(p.value * (w - v), 1e-9) / max(kb - k, 1e-9) for w, v, kb, k in
-                     zip(worths, (0.0, *worths), self.rates, (0.0, *self.rates), strict=False)]
+        self.gain = [
+            max(p.value * (w - v), 1e-9) / max(kb - k, 1e-9)
+            for w, v, kb, k in zip(worths, (0.0, *worths), self.rates, (0.0, *self.rates), strict=False)
+        ]
 
 
 class Viewing:
@@ -179,7 +182,7 @@
         if not st.shown[key]:
             del st.shown[key]
         self.every.one = abs(kb)
-        for pipe in (st.link, st.rack, self.every)[:3 - vw.apart]:
+        for pipe in (st.link, st.rack, self.every)[: 3 - vw.apart]:
             pipe.add(now, kb)
 
     def use(self, now: float, st: Streamer, more: float = 0.0) -> float:
--- a/herongap/rules/limits.py
+++ b/herongap/rules/limits.py
@@ -1,4 +1,5 @@
 """Whether a viewing may be set up now, never where: repeats and their budget, wholes of the fleet, floods."""
+
 from collections import deque
 from math import exp
 
@@ -49,15 +50,26 @@
         if not vw.ran or p.repeat is Repeat.HARMLESS:
             return True
         return p.repeat is Repeat.IN_GROUP and all(
-            now - sent < p.window and (p.group is Group.ALL or (zone == st.line.zone and (
-                p.group is Group.ZONE or cell == st.line.cell))) for zone, cell, sent in vw.ran)
+            now - sent < p.window
+            and (
+                p.group is Group.ALL
+                or (zone == st.line.zone and (p.group is Group.ZONE or cell == st.line.cell))
+            )
+            for zone, cell, sent in vw.ran
+        )
 
     def counting(self, vw: Viewing, cold: bool) -> list[str]:
         """The wholes for which a viewing's next tune-in counts."""
         ask, more = vw.ask, [Counted.FURTHER] * bool(vw.tries) + [Counted.COLD] * cold
         sorts = {Counted.VIEWINGS, Counted.TUNE_INS, *more}
-        return [w.name for w in self.wholes if w.counted in sorts and w.package in (None, ask.package)
-                and w.member in (None, ask.member) and w.title in (None, ask.title)]
+        return [
+            w.name
+            for w in self.wholes
+            if w.counted in sorts
+            and w.package in (None, ask.package)
+            and w.member in (None, ask.member)
+            and w.title in (None, ask.title)
+        ]
 
     def within(self, vw: Viewing, cold: bool) -> bool:
         """Whether every whole that it counts for has room here; of one that has none more is wanted."""
@@ -81,6 +93,6 @@
         self.left_of[whole] = room
         held = [vw for vw in self.known.viewings.values() if room < 0 and whole in vw.charged and vw.playing]
         stay = sorted((vw for vw in held if not vw.done), key=lambda vw: vw.package.gain[0])
-        for vw in stay[:max(0, len(stay) - len(held) - room)]:
+        for vw in stay[: max(0, len(stay) - len(held) - room)]:
             vw.done = True
             self.known.answers.append(("move", vw.id))
--- a/herongap/rules/placing.py
+++ b/herongap/rules/placing.py
@@ -1,4 +1,5 @@
 """Placing: where a waiting viewing goes and at which rung, by the paper's table, and when it is given up."""
+
 from collections import defaultdict
 from heapq import heappush
 
@@ -10,9 +11,9 @@
 from .turns import FIRST, Turns
 
 PERIOD, RANKS, WINDOW = 0.5, 5.0, 60.0  # the timer; ranks refresh; old viewings fade from a cell
-THIN, SEED = 3, 0.05    # viewings that make a cell count; share of set-ups that go round robin all the same
+THIN, SEED = 3, 0.05  # viewings that make a cell count; share of set-ups that go round robin all the same
 TIE, CROSS = 0.10, 0.1  # scores this close to the best tie; another zone counts as so much fuller among them
-FAIL_SECONDS = 10.0     # seconds of full stall that a failed tune-in counts as in its cell
+FAIL_SECONDS = 10.0  # seconds of full stall that a failed tune-in counts as in its cell
 FLOOD_MARK, COME_BACK = 0.5, 0.5  # part of links and places that a flood may fill; seconds until a return
 
 
@@ -28,8 +29,13 @@
         k, name = self.known, vw.package.name
         # With few viewings all cells are thin: they count as the average of their zone, as the paper's k-NN
         # takes neighbours at a greater distance, and seeding is left to rows that can fill.
-        score = {st: self.ranks.get((name, st.line.streamer), self.ranks.get(
-            (name, st.line.zone), self.ranks.get((name, None), 0.0))) for st in room}
+        score = {
+            st: self.ranks.get(
+                (name, st.line.streamer),
+                self.ranks.get((name, st.line.zone), self.ranks.get((name, None), 0.0)),
+            )
+            for st in room
+        }
         best = max(score.values())
         tied = [st for st in room if score[st] >= best - TIE * abs(best)]
         near = {st: st.line.zone == k.zone for st in room}
@@ -82,23 +88,38 @@
     def place(self, now: float, vw: Viewing) -> bool:
         """Send a waiting viewing to the best holder with room, or say that there is none."""
         k, limits, turns, p = self.known, self.limits, self.turns, vw.package
-        holders = [st for st in k.streamers.values() if st.line.shelf in vw.ask.holders
-                   and st.line.streamer not in vw.tried and limits.repeats_at(now, vw, st)]
+        holders = [
+            st
+            for st in k.streamers.values()
+            if st.line.shelf in vw.ask.holders
+            and st.line.streamer not in vw.tried
+            and limits.repeats_at(now, vw, st)
+        ]
         spent = vw.tries >= k.tune_ins or (vw.tries and not holders)
         if spent or vw.top < p.floor or vw.until - now < 0.05:
             return self.give_up(vw)  # waiting would not help: the viewer is better off coming again
         seated = p.seats and p.seats <= k.seated[p.name, vw.ask.title]
         if seated or (vw.tries and not limits.may_repeat(now)) or not limits.within(vw, False):
             return False
-        ready = [st for st in holders if st.line.standing is Standing.ACTIVE and turns.paced(now, st)
-                 and len(st.held) < k.places.get(st.line.kind, 1 << 30)
-                 and (not turns.cold(now, st) or limits.within(vw, True))]
+        ready = [
+            st
+            for st in holders
+            if st.line.standing is Standing.ACTIVE
+            and turns.paced(now, st)
+            and len(st.held) < k.places.get(st.line.kind, 1 << 30)
+            and (not turns.cold(now, st) or limits.within(vw, True))
+        ]
         # Where all lose answers all are set aside: one that has been heard of since is better than none.
         ready = [st for st in ready if st.back <= now] or [
-            st for st in ready if st.link.heard > st.back - AWAY]
+            st for st in ready if st.link.heard > st.back - AWAY
+        ]
         if vw.flood:
-            ready = [st for st in ready if k.use(now, st, p.rates[p.floor]) <= FLOOD_MARK
-                     and len(st.held) < FLOOD_MARK * k.places.get(st.line.kind, 1) / k.controllers]
+            ready = [
+                st
+                for st in ready
+                if k.use(now, st, p.rates[p.floor]) <= FLOOD_MARK
+                and len(st.held) < FLOOD_MARK * k.places.get(st.line.kind, 1) / k.controllers
+            ]
         if vw.waits in self.probing or (vw.waits is None and self.inquire(now, vw, ready)):
             return False
         for rung in range(p.floor if vw.flood else vw.top, p.floor - 1, -1):
@@ -111,8 +132,11 @@
             self.send(now, vw, roomy, p.floor)
         elif vw.turn <= now and k.me is not None:
             # A slot lasts for milliseconds: unless it is waited for, next to none who wait meet theirs.
-            due = [(turns.next_turn(now, st) + 0.1) * turns.slot for st in holders
-                   if turns.cold(now, st) and st.line.standing is Standing.ACTIVE]
+            due = [
+                (turns.next_turn(now, st) + 0.1) * turns.slot
+                for st in holders
+                if turns.cold(now, st) and st.line.standing is Standing.ACTIVE
+            ]
             last = min(vw.aim - (0.0 if vw.tries else FIRST * p.join), vw.until - 0.05)
             if due := [at for at in due if now < at < last]:
                 vw.turn = min(due)
--- a/herongap/rules/playing.py
+++ b/herongap/rules/playing.py
@@ -1,9 +1,10 @@
 """Cuts and raises: the rungs of what plays, by the going price of a kB a second."""
+
 from .known import Known, Streamer, Terms, Viewing
 
-MARK = 0.95             # part of a link or uplink that set-ups and raises may fill
-AHEAD = 2.0             # a rung above the floor must fit so many times more, as far as others meet this one
-OVER = 1.04             # use above which playing viewings are cut
+MARK = 0.95  # part of a link or uplink that set-ups and raises may fill
+AHEAD = 2.0  # a rung above the floor must fit so many times more, as far as others meet this one
+OVER = 1.04  # use above which playing viewings are cut
 SETTLE, DWELL = 1.0, 6.0  # seconds: for a cut to show, beside the lateness of notes; from a step to a raise
 
 
@@ -41,7 +42,8 @@
                 more = max(rates[rung] - rates[vw.rung], 1e-9) / st.link.size
                 part = (MARK - use) / (more + max(0.0, use - own) * (rates[rung] / rates[vw.rung] - 1))
                 if use + more * (1 + self.room(vw.package, rung)) <= MARK and (
-                        part >= 1 or (rung == vw.rung + 1 and k.chance() < part)):
+                    part >= 1 or (rung == vw.rung + 1 and k.chance() < part)
+                ):
                     self.step(now, vw, rung)
                     return
 
@@ -54,8 +56,11 @@
             if use <= OVER or now - pipe.eased < k.late + SETTLE:
                 continue
             pipe.eased = now
-            held = [vw for vw in k.viewings.values()
-                    if vw.playing and vw.streamer and pipe in (vw.streamer.link, vw.streamer.rack)]
+            held = [
+                vw
+                for vw in k.viewings.values()
+                if vw.playing and vw.streamer and pipe in (vw.streamer.link, vw.streamer.rack)
+            ]
             # Each step costs the viewer: all that one viewing gives up goes in a single step.
             goal, stepped = pipe.own * MARK / use, {}
             while pipe.own > goal and (down := [vw for vw in held if vw.rung > vw.package.floor]):
--- a/herongap/rules/turns.py
+++ b/herongap/rules/turns.py
@@ -1,13 +1,14 @@
 """Cold pace: when this controller may send something to a streamer that may have just started."""
+
 from math import sqrt
 
 from herongap.interface import Charter
 
 from .known import Known, Streamer
 
-FIRST = 0.45            # part of the join target that is taken by a first tune-in
-FEW = 16                # controllers that share slots exactly: chance evens out among many alone
-SURGE, SURE = 2, 3      # so much more than expected, and deviations of it, still fell nothing
+FIRST = 0.45  # part of the join target that is taken by a first tune-in
+FEW = 16  # controllers that share slots exactly: chance evens out among many alone
+SURGE, SURE = 2, 3  # so much more than expected, and deviations of it, still fell nothing
 
 
 class Turns:
@@ -17,7 +18,9 @@
         n *= c.fall_within / c.warm_up
         # Over n, the allowance of the coldest, only 2 root n + 2 are put down to chance: with x slots in a
         # window, SURGE x + SURE root (SURGE x) stays within that.
-        self.slot = c.fall_within / min(n, ((sqrt(SURE**2 + 4 * n + 8 * sqrt(n) + 8) - SURE) / 2)**2 / SURGE)
+        self.slot = c.fall_within / min(
+            n, ((sqrt(SURE**2 + 4 * n + 8 * sqrt(n) + 8) - SURE) / 2) ** 2 / SURGE
+        )
         self.begins = now + min(c.fall_within, self.slot * FEW)  # an earlier process's sends count
 
     def cold(self, now: float, st: Streamer) -> bool:
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -355,7 +355,7 @@
         c.asked(now, ask(i, title=i, holders=links))
         for d in pull(c, now):
             if d[0] == "tune_in":
-                        # The answer tells the load; notes would come only after all this.
+                # The answer tells the load; notes would come only after all this.
                 asked = [sum(one.streamers[10 + st].link.own for one in made) / 1e4 for st in range(links)]
                 c.started(now, d[1], 0, d[2], 0.02)
                 c.load_told(now, d[2], False, d[1], asked[d[2] - 10])
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -152,6 +152,7 @@
     w.until(lambda: client.of("down", "0123456789abcdef"), 1.0)
     assert not w.node.host.lives and not w.node.viewers.sessions
 
+
 # Who is gone, and who only closed its door.
 
 
