--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -18,7 +18,7 @@
 from herongap.fleet.day import Clients, Day, Machines, Share_, Size, front_ini
 from herongap.host import Host
 from herongap.ini import parse_site
-from herongap.interface import Asked, Listed, Load, Standing
+from herongap.interface import LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 
 REQUESTS, RATE, TELL = 300, 20.0, 2.0
 
@@ -41,7 +41,7 @@
     def nothing(self, *_):
         return None
 
-    call_off = set_rung = over = probe = follow = tell = wake = nothing
+    call_off = set_rung = viewing_ended = probe = follow = send_to_peer = wake = nothing
 
 
 def site(streamers: int):
@@ -64,7 +64,7 @@
         self.names = [f"s{i}" for i in range(streamers)]
         self.host = Host(0.0, 1, made.charter, self.port)
         lines = [
-            Listed(n, f"z{i % 2}", "std", n, n, f"r{i % racks}", Standing.ACTIVE, 1.0, None)
+            StreamerEntry(n, f"z{i % 2}", "std", n, n, f"r{i % racks}", StreamerStatus.ACTIVE, 1.0, None)
             for i, n in enumerate(self.names)
         ]
         self.host.listed(0.0, "whole", lines)
@@ -80,7 +80,7 @@
             if streamer is None:
                 self.host.torn_down(self.now, viewing, number)
             else:
-                self.host.started(self.now, viewing, number, streamer, Load(0.3, None, 0.3))
+                self.host.started(self.now, viewing, number, streamer, LoadReport(0.3, None, 0.3))
 
     def notes(self) -> None:
         if self.now - self.told >= TELL:
@@ -94,13 +94,13 @@
         title = self.count % 40
         package = "seats" if self.count % 3 == 0 else "standard"
         self.host.asked(
-            self.now, Asked(self.count, self.count, package, None, title, self.holders[title], 3, 4.0, None,
-                            False, False),
+            self.now, ViewingRequest(self.count, self.count, package, None, title, self.holders[title], 3,
+                                     4.0, None, False, False),
         )  # fmt: skip
         self.settle()
 
     def fill(self, held: int) -> None:
-        while len(self.host.lives) < held:
+        while len(self.host.viewings) < held:
             self.now += 0.02
             self.notes()
             self.ask()
@@ -113,8 +113,8 @@
             self.notes()
             began = time.perf_counter()
             self.ask()
-            while len(self.host.lives) > held:
-                self.host.left(self.now, next(iter(self.host.lives)))
+            while len(self.host.viewings) > held:
+                self.host.left(self.now, next(iter(self.host.viewings)))
                 self.settle()
             spent += time.perf_counter() - began
         return spent / REQUESTS
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from pathlib import Path
 
-from herongap.host import State
+from herongap.host import ViewingState
 from herongap.host.replay import steps
 
 
@@ -35,8 +35,8 @@
                 if before is not None and now > before:
                     shares = [
                         host.module.streamers[life.streamer].share
-                        for life in host.lives.values()
-                        if life.state is State.PLAYING and life.streamer in host.module.streamers
+                        for life in host.viewings.values()
+                        if life.state is ViewingState.PLAYING and life.streamer in host.module.streamers
                     ]
                     held += (now - before) * len(shares)
                     lost += (now - before) * sum(1 - share for share in shares)
--- a/herongap/benchlink/codec.py
+++ b/herongap/benchlink/codec.py
@@ -1,25 +1,25 @@
 """The wire's fields in our types, and our decisions as wire messages; milliseconds become seconds."""
 
-from herongap.interface import Asked, Ending, Listed, Load, Standing
+from herongap.interface import EndReason, LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 
 ENDINGS = {
-    "OK": Ending.PLAYED,
-    "INTERNAL": Ending.FAULTY,
-    "RESOURCE_EXHAUSTED": Ending.FULL,
-    "DEADLINE_EXCEEDED": Ending.TIMED_OUT,
-    "UNAVAILABLE": Ending.UNREACHED,
-    "ABORTED": Ending.BROKEN,
-    "CANCELLED": Ending.CALLED_OFF,
-    "TOO_LATE": Ending.NOT_SENT,
+    "OK": EndReason.PLAYED,
+    "INTERNAL": EndReason.FAULTY,
+    "RESOURCE_EXHAUSTED": EndReason.FULL,
+    "DEADLINE_EXCEEDED": EndReason.TIMED_OUT,
+    "UNAVAILABLE": EndReason.UNREACHED,
+    "ABORTED": EndReason.BROKEN,
+    "CANCELLED": EndReason.CALLED_OFF,
+    "TOO_LATE": EndReason.NOT_SENT,
 }
-STANDINGS = {"active": Standing.ACTIVE, "leaving": Standing.LEAVING, "left": Standing.LEFT}
+STANDINGS = {"active": StreamerStatus.ACTIVE, "leaving": StreamerStatus.LEAVING, "left": StreamerStatus.LEFT}
 
 
-def listed(line: dict, racks: int) -> Listed:
+def listed(line: dict, racks: int) -> StreamerEntry:
     """One entry of a list; a cell's streamers hold the same titles, and its rack is the cell mod `racks`."""
     cell = int(line["SlotNo"])
     since = line.get("UpSince") or 0
-    return Listed(
+    return StreamerEntry(
         line["Streamer"],
         line["Hall"],
         line["Flavor"],
@@ -32,10 +32,10 @@
     )
 
 
-def asked(f: dict, cells: int) -> Asked:
+def asked(f: dict, cells: int) -> ViewingRequest:
     """A request, or a viewing handed over; its holders are a run of the wire's `cells`."""
     hint = f.get("SizeHint")
-    return Asked(
+    return ViewingRequest(
         f["Ref"],
         f["Subject"],
         f["Grade"],
@@ -50,10 +50,10 @@
     )
 
 
-def load(f: dict) -> Load | None:
+def load(f: dict) -> LoadReport | None:
     """A load report; what the module does not use is passed over."""
     r = f.get("Feedback")
-    return None if r is None else Load(r.get("x0"), r.get("cpu_share"), r.get("x1"))
+    return None if r is None else LoadReport(r.get("x0"), r.get("cpu_share"), r.get("x1"))
 
 
 MESSAGES = {
--- a/herongap/benchlink/link.py
+++ b/herongap/benchlink/link.py
@@ -4,7 +4,7 @@
 
 from herongap.benchlink import codec
 from herongap.errors import Unusable
-from herongap.interface import Ending
+from herongap.interface import EndReason
 from herongap.platform.charter import charter
 from herongap.rules import Controller
 
@@ -29,9 +29,9 @@
     return call and (*call, f["Amount"])
 
 
-def ending(f: dict) -> Ending:
+def ending(f: dict) -> EndReason:
     """How something ended; a word not known here is told as such."""
-    return codec.ENDINGS.get(f["How"], Ending.UNKNOWN)
+    return codec.ENDINGS.get(f["How"], EndReason.UNKNOWN)
 
 
 READERS = {
--- a/herongap/cli/experiment.py
+++ b/herongap/cli/experiment.py
@@ -165,12 +165,12 @@
     file.
     """
     from herongap.fleet.fit import FAMILIES, day_text, fit_record
-    from herongap.host import Torn
+    from herongap.host import RecordError
 
     try:
         with open(record, "rb") as lines:
             found = fit_record(lines)
-    except (Torn, ValueError) as fault:
+    except (RecordError, ValueError) as fault:
         raise refused(fault, f"{record}: ") from fault
     click.echo(
         f"; {found.viewings} viewings in {found.seconds:.1f} s, "
--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -118,7 +118,7 @@
     directory.take(0.0, [Change(key, None, Item(value, 0, 0)) for key, value in found.items()], first=True)
     streamers = {
         str(line.streamer): {
-            "standing": line.standing.name.lower(), "address": "{}:{}".format(*value.address),
+            "standing": line.status.name.lower(), "address": "{}:{}".format(*value.address),
             "zone": line.zone, "kind": line.kind, "rack": line.rack, "started": line.started,
         }
         for line in directory.whole() for value in [directory.streamers[line.streamer]]
@@ -158,7 +158,7 @@
 
     def listed(kind: str, lines, addresses) -> None:
         for line in lines:
-            standing, revision = line.standing.name.lower(), feed.follower.revision
+            standing, revision = line.status.name.lower(), feed.follower.revision
             if as_json:
                 told = {"at": round(time.time(), 3), "kind": kind, "revision": revision}
                 click.echo(json.dumps(told | {"streamer": line.streamer, "standing": standing}))
--- a/herongap/cli/records.py
+++ b/herongap/cli/records.py
@@ -5,7 +5,7 @@
 
 import click
 
-from herongap.host import Torn
+from herongap.host import RecordError
 from herongap.host import replay as run_record
 from herongap.host.replay import explain as explain_record
 
@@ -22,7 +22,7 @@
     try:
         with open(file, "rb") as lines:
             inputs, decisions, found = run_record(lines)
-    except Torn as fault:
+    except RecordError as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
     if found:
@@ -41,7 +41,7 @@
     try:
         with open(file, "rb") as lines:
             told = list(explain_record(lines, viewing))
-    except Torn as fault:
+    except RecordError as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
     if not told:
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -20,10 +20,10 @@
 from herongap.daemon.session import Session
 from herongap.daemon.wire import Peer
 from herongap.dash import MPD, Asset, Doubt, Grant, Video, manifest, read_cmcd
-from herongap.host import State
+from herongap.host import ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini.parts import DashPart
-from herongap.interface import Ending
+from herongap.interface import EndReason
 
 JSON = "application/json"
 OPEN = (("Access-Control-Allow-Origin", "*"),)  # players run in browsers
@@ -171,12 +171,12 @@
             # It may play on there, unseen from here: it is told to stop as soon as it can be.
             self.door.host.left(now, session.viewing)
         else:
-            self.door.host.ended(now, session.viewing, number, Ending.BROKEN)
+            self.door.host.ended(now, session.viewing, number, EndReason.BROKEN)
         return True
 
     def _life(self, session: Session):
-        life = self.door.host.lives.get(session.viewing)
-        return life if life and life.state is State.PLAYING else None
+        life = self.door.host.viewings.get(session.viewing)
+        return life if life and life.state is ViewingState.PLAYING else None
 
     def _wish(self, line: Line, turn: int) -> Wish:
         site, package = self.door.site, self.door.packages[line.package]
--- a/herongap/daemon/door.py
+++ b/herongap/daemon/door.py
@@ -18,11 +18,11 @@
 from herongap.daemon.session import Session
 from herongap.daemon.streamers import Streamers
 from herongap.daemon.wire import Hung, Peer
-from herongap.host import Again, Host, Repeats
+from herongap.host import Host, RepeatDetector, RepeatMatch
 from herongap.http import Reply, Request, bearer, problem
 from herongap.ini import Catalogue, Site
 from herongap.intake import Intake
-from herongap.interface import Asked, Ending
+from herongap.interface import EndReason, ViewingRequest
 
 log = structlog.get_logger()
 
@@ -55,7 +55,7 @@
                  clock=time.monotonic):  # fmt: skip
         self.site, self.host, self.port, self.intake = site, host, port, intake
         self.catalogue, self.clock = catalogue, clock
-        self.repeats = Repeats(site.front.remember, 100_000)
+        self.repeats = RepeatDetector(site.front.remember, 100_000)
         self.packages = {p.name: p for p in site.charter.packages}
         self.setting_up = 0
         self.over: list[Callable[[Session], None]] = []
@@ -107,13 +107,13 @@
     def enter(self, wish: Wish, peer: Peer) -> Session | Reply:
         """The session of a wish, which plays, or the reply that says why there is none; blocks until then."""
         now = self.clock()
-        again, viewing = self.repeats.seen(now, wish.key, wish.digest)
-        if again is Again.JOIN:
+        again, viewing = self.repeats.match(now, wish.key, wish.digest)
+        if again is RepeatMatch.JOIN:
             log.info("repeated", viewing=viewing)
             return self._await(self.port.sessions[viewing], peer)
-        if again is Again.OVER:
+        if again is RepeatMatch.ENDED:
             return problem("session-over")
-        if again is Again.CLASH:
+        if again is RepeatMatch.CONFLICT:
             return problem("key-reused")
         if refusal := self.intake.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
             kind, come_back = refusal
@@ -137,8 +137,8 @@
             wish.digest,
         )
         self.port.sessions[viewing] = session
-        self.repeats.take(wish.key, wish.digest, viewing)
-        ask = Asked(
+        self.repeats.add(wish.key, wish.digest, viewing)
+        ask = ViewingRequest(
             viewing=viewing,
             viewer=wish.viewer,
             package=wish.package,
@@ -146,10 +146,10 @@
             title=wish.title,
             holders=frozenset(wish.holders),
             top=min(p.top, int(wish.top)) if wish.top.isdigit() else p.top,
-            left=max(0.0, wish.patience - self.site.front.answer_ahead),
+            time_left=max(0.0, wish.patience - self.site.front.answer_ahead),
             length=None,
             moved=False,
-            again=False,
+            is_retry=False,
         )
         log.debug("asked", viewing=viewing, package=wish.package, title=wish.title, peer=peer.name)
         self.setting_up += 1
@@ -176,7 +176,7 @@
             return session
         if answer.verdict == "gone":
             raise Hung
-        if answer.cause is Ending.NOT_SENT:
+        if answer.cause is EndReason.NOT_SENT:
             return problem("offer-refused")
         if answer.verdict == "blocked":
             wait = [("Retry-After", str(math.ceil(answer.come_back)))] if answer.come_back else []
@@ -188,6 +188,6 @@
             self.host.left(self.clock(), session.viewing)
 
     def _over(self, session: Session, played: bool) -> None:
-        self.repeats.drop(self.clock(), session.viewing, played)
+        self.repeats.remove(self.clock(), session.viewing, played)
         for told in self.over:
             told(session)
--- a/herongap/daemon/events.py
+++ b/herongap/daemon/events.py
@@ -10,14 +10,14 @@
 import structlog
 
 from herongap.daemon.wire import Address, Call
-from herongap.host.pulse import Pulse, Word
-from herongap.interface import Ending
+from herongap.host.liveness import Liveness, StreamerLiveness
+from herongap.interface import EndReason
 from herongap.whep import EventReader
 
 Id = int | str
 log = structlog.get_logger()
 # How a streamer says that a session ended; anything else counts as broken off.
-REASONS = {"ended": Ending.PLAYED, "viewer-gone": Ending.PLAYED}
+REASONS = {"ended": EndReason.PLAYED, "viewer-gone": EndReason.PLAYED}
 WANTED = b'["active","inactive","layers","viewercount","load","delivery"]'
 
 
@@ -28,7 +28,7 @@
 
     def load_told(self, streamer: Id, uplink: bool, ratio: float) -> None: ...
 
-    def ended_at(self, streamer: Id, resource: str, how: Ending) -> None: ...
+    def ended_at(self, streamer: Id, resource: str, how: EndReason) -> None: ...
 
     def lost(self, streamer: Id, target: str, cause: str) -> None: ...
 
@@ -40,7 +40,7 @@
                  streamer: Id, address: Address, target: str):  # fmt: skip
         self.listener, self.name, self.connect, self.clock = listener, name, connect, clock
         self.streamer, self.address, self.target = streamer, address, target
-        self.pulse = Pulse(clock())
+        self.liveness = StreamerLiveness(clock())
         self.call: Call | None = None
         self.silent = False
         self._greenlet = gevent.spawn(self._run)
@@ -62,7 +62,7 @@
             finally:
                 if self.call:
                     self.call.close()
-            if self.pulse.broke(self.clock(), unknown):
+            if self.liveness.on_stream_broken(self.clock(), unknown):
                 self._lost("its event stream cannot be had")
                 return
             gevent.sleep(wait)
@@ -99,15 +99,15 @@
                     gevent.spawn(self._lost, "silent")
                     self.stop()
                 continue
-            self.pulse.spoke(self.clock())
+            self.liveness.on_data(self.clock())
             for name, data in reader.feed(chunk):
                 self._tell(name, data)
 
     def _quiet(self) -> bool:
-        word = self.pulse.word(self.clock())
-        if word is Word.SILENT:
+        word = self.liveness.check(self.clock())
+        if word is Liveness.SILENT:
             self.listener.share_told(self.streamer, 0.0)
-        return word is Word.LOST
+        return word is Liveness.LOST
 
     def _tell(self, name: str, data: dict) -> None:
         # A streamer's word is not to be trusted to be a number.
@@ -120,5 +120,5 @@
                         ratio = min(100.0, max(0.0, float(data[key])))
                         self.listener.load_told(self.streamer, uplink, ratio)
             elif name == "inactive" and "resource" in data:
-                how = REASONS.get(data.get("reason"), Ending.BROKEN)
+                how = REASONS.get(data.get("reason"), EndReason.BROKEN)
                 self.listener.ended_at(self.streamer, str(data["resource"]), how)
--- a/herongap/daemon/front.py
+++ b/herongap/daemon/front.py
@@ -10,7 +10,7 @@
 from herongap.daemon.door import Door, Wish
 from herongap.daemon.session import Session
 from herongap.daemon.wire import Peer
-from herongap.host import State
+from herongap.host import ViewingState
 from herongap.http import SDP, Reply, Request, problem, wait_preferred
 from herongap.sdp import Offer
 from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created, ice_links
@@ -114,8 +114,8 @@
         return Reply(reply.status, (*kept, *OPTIONS_HEADERS[1::3]), reply.body)
 
     def _delete(self, session: Session) -> Reply:
-        life = self.host.lives.get(session.viewing)
-        if life is None or life.state is not State.PLAYING:
+        life = self.host.viewings.get(session.viewing)
+        if life is None or life.state is not ViewingState.PLAYING:
             return problem("no-such-session")
         self.host.left(self.clock(), session.viewing)
         session.closed.wait(3.0)
--- a/herongap/daemon/journal.py
+++ b/herongap/daemon/journal.py
@@ -20,7 +20,7 @@
 
 from herongap.daemon.aside import put_aside
 from herongap.errors import HerongapError
-from herongap.interface import Asked
+from herongap.interface import ViewingRequest
 from herongap.state import Known
 
 FORMAT = 1
@@ -32,7 +32,7 @@
     """One viewing. `key` and `digest` make its request known again, `remote` is its place at its streamer."""
 
     known: Known
-    ask: Asked
+    ask: ViewingRequest
     number: int
     streamer: int | str
     rung: int
--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -13,7 +13,7 @@
 from herongap.daemon.journal import Entry, Journal
 from herongap.daemon.session import Remote, Session
 from herongap.host import Answer
-from herongap.interface import Ending
+from herongap.interface import EndReason
 from herongap.state import Fate, Found, Kept, Known, reconcile
 
 AT_ONCE = 20  # streamers' sessions asked about at one time: new viewings come first
@@ -39,7 +39,7 @@
             )  # fmt: skip
             session.remote = Remote(*entry.remote) if entry.remote else None
             self.port.sessions[entry.ask.viewing] = session
-            self.door.repeats.take(session.key, session.digest, entry.ask.viewing)
+            self.door.repeats.add(session.key, session.digest, entry.ask.viewing)
             if entry.protocol != "dash":
                 self.secrets[entry.secret] = session
 
@@ -60,7 +60,7 @@
 
     def _await_list(self, entries: list[Entry]) -> None:
         until = time.monotonic() + LISTED
-        while time.monotonic() < until and any(e.streamer not in self.host.standing for e in entries):
+        while time.monotonic() < until and any(e.streamer not in self.host.statuses for e in entries):
             gevent.sleep(0.02)
 
     def _settle(self, entry: Entry) -> None:
@@ -98,7 +98,7 @@
             self._let_go(session, "ended")
             return
         if self.port.budgets:
-            self.port.budgets.adopted((viewing, entry.number), self.host.lives[viewing].charged)
+            self.port.budgets.adopted((viewing, entry.number), self.host.viewings[viewing].charged_budgets)
         self.told["adopted"] += 1
         session.answer = Answer("plays")
         session.done.set()
@@ -106,5 +106,5 @@
 
     def _let_go(self, session: Session, how: str) -> None:
         self.told[how] += 1
-        session.answer = Answer("aborted", cause=Ending.BROKEN)
+        session.answer = Answer("aborted", cause=EndReason.BROKEN)
         self.port.forget(session)
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -21,11 +21,11 @@
 from herongap.daemon.recovery import Recovery
 from herongap.daemon.streamers import Streamers
 from herongap.daemon.wire import Peer, Server
-from herongap.host import Host, Recorder, State
+from herongap.host import Host, Recorder, ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini import Site, read_catalogue, read_list
 from herongap.intake import Intake
-from herongap.interface import Listed
+from herongap.interface import StreamerEntry
 from herongap.observe.metrics import TEXT, Figures
 from herongap.rules import Controller
 
@@ -121,23 +121,23 @@
         if self.whispers:
             self.whispers.leave()
         until = self.clock() + self.site.front.stop_within
-        log.info("stopping", held=len(self.host.lives))
+        log.info("stopping", held=len(self.host.viewings))
         budgets = self.port.budgets
         if budgets:
             budgets.leave()
         while self.clock() < until and any(
-            life.state in (State.WAITING, State.OUT) for life in self.host.lives.values()
+            life.state in (ViewingState.WAITING, ViewingState.PENDING) for life in self.host.viewings.values()
         ):
             gevent.sleep(0.02)
-        for viewing in list(self.host.lives):
+        for viewing in list(self.host.viewings):
             self.host.left(self.clock(), viewing)
-        while self.clock() < until and self.host.lives:
+        while self.clock() < until and self.host.viewings:
             gevent.sleep(0.02)
         while self.clock() < until and budgets and not budgets.left:
             gevent.sleep(0.02)  # what it does not use is of use to others now, not after its lease
         gevent.sleep(0.05)  # replies that are on their way out
         self.kill()
-        log.info("stopped", left=len(self.host.lives), **self.host.counts)
+        log.info("stopped", left=len(self.host.viewings), **self.host.counts)
 
     def kill(self) -> None:
         """Close everything at once."""
@@ -171,7 +171,7 @@
         self.host.listed(self.clock(), "whole", lines)
         log.info("list taken", streamers=len(lines))
 
-    def _fed(self, kind: str, lines: tuple[Listed, ...], addresses: dict[str, Address]) -> None:
+    def _fed(self, kind: str, lines: tuple[StreamerEntry, ...], addresses: dict[str, Address]) -> None:
         self.port.addresses |= addresses
         self.host.listed(self.clock(), kind, lines)
 
@@ -202,7 +202,7 @@
                 "standing": standing.name.lower(),
                 "address": "{}:{}".format(*self.port.addresses[name]) if name in self.port.addresses else "",
             }
-            for name, standing in sorted(self.host.standing.items())
+            for name, standing in sorted(self.host.statuses.items())
         }
         listing = {"streamers": told, "source": self.feed.told() if self.feed else {"state": "file"}}
         return listing | ({"members": self.whispers.told()} if self.whispers else {})
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -19,7 +19,7 @@
 from herongap.daemon.wire import Address, Call, Pool
 from herongap.host import Answer, Host
 from herongap.http import Reply
-from herongap.interface import Asked, Ending, Load
+from herongap.interface import EndReason, LoadReport, ViewingRequest
 from herongap.orca import HEADER, read_load
 from herongap.state import Known
 from herongap.whep import write_layer
@@ -50,7 +50,7 @@
 
     # The port.
 
-    def tune_in(self, ask: Asked, number: int, streamer: Id, rung: int, time_out: float) -> None:
+    def tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
         log.debug(
             "tune-in",
             viewing=ask.viewing,
@@ -61,7 +61,7 @@
         )
         self.calls[ask.viewing, number] = None
         if self.budgets:
-            self.budgets.reserve((ask.viewing, number), self.host.lives[ask.viewing].charged)
+            self.budgets.reserve((ask.viewing, number), self.host.viewings[ask.viewing].charged_budgets)
         self._keep(ask.viewing, Known.SENT)
         gevent.spawn(self._tune_in, ask, number, streamer, rung, time_out)
 
@@ -107,7 +107,7 @@
         session.done.set()
         session.closed.set()
 
-    def over(self, viewing: Id, how: Ending) -> None:
+    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
         if session := self.sessions.get(viewing):
             log.info(
                 "ended",
@@ -125,10 +125,10 @@
     def follow(self) -> None:
         """The list is followed from the start; a feed that failed comes back by itself."""
 
-    def tell(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, words: bytes) -> None:
         log.warning("no way to controllers", peer=peer)
 
-    def short(self, whole: str) -> None:
+    def request_budget(self, whole: str) -> None:
         if self.budgets:
             self.budgets.short(whole)
 
@@ -139,11 +139,11 @@
         """Write a viewing down, before the effect that depends on it."""
         if self.journal is None or (session := self.sessions.get(viewing)) is None:
             return
-        life = self.host.lives[viewing]
+        life = self.host.viewings[viewing]
         remote = list(session.remote) if session.remote else None
         self.journal.put(
             Entry(
-                known, life.ask, life.number, life.streamer, life.rung, session.protocol, session.secret,
+                known, life.request, life.number, life.streamer, life.rung, session.protocol, session.secret,
                 session.owner, list(session.key), session.digest, remote,
             )
         )  # fmt: skip
@@ -159,10 +159,10 @@
     def _headers(self) -> list[tuple[str, str]]:
         return [("Via", f"1.1 {self.name}"), ("Accept", "*/*")]
 
-    def _tune_in(self, ask: Asked, number: int, streamer: Id, rung: int, time_out: float) -> None:
+    def _tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
         viewing, key = ask.viewing, (ask.viewing, number)
         session = self.sessions.get(viewing)
-        how, load, sure = Ending.UNREACHED, None, True
+        how, load, sure = EndReason.UNREACHED, None, True
         try:
             if session is None:
                 return
@@ -171,7 +171,7 @@
             call = Call(self.addresses[streamer], min(self.connect, 0.9 * time_out))
             if not self._leaves(viewing, number):
                 call.close()
-                how, load = Ending.FULL, Load()  # it never left, and its streamer is sound
+                how, load = EndReason.FULL, LoadReport()  # it never left, and its streamer is sound
                 return
             self.calls[key] = call
             target = self.targets[session.protocol].format(title=quote(str(ask.title), safe=""), rung=rung)
@@ -185,10 +185,10 @@
                 ],
                 session.offer,
             )
-            how, sure = Ending.BROKEN, False
+            how, sure = EndReason.BROKEN, False
             reply = call.receive(time_out + REAP)
             how, load, remote = self._read(streamer, target, reply)
-            sure = reply.status != 201 and reply.status < 500 or how is Ending.FULL
+            sure = reply.status != 201 and reply.status < 500 or how is EndReason.FULL
             if remote:
                 self.remotes[key] = session.remote = remote
                 how = None
@@ -202,7 +202,7 @@
             if call := self.calls.get(key):
                 call.close()
         except h11.RemoteProtocolError as fault:
-            how = Ending.FAULTY
+            how = EndReason.FAULTY
             log.warning("streamer answers no HTTP", viewing=viewing, streamer=streamer, cause=str(fault))
             self.calls[key].close()
         finally:
@@ -221,20 +221,22 @@
         if self.budgets:
             self.budgets.over(thing, sure)
 
-    def _read(self, streamer: Id, target: str, reply: Reply) -> tuple[Ending, Load | None, Remote | None]:
+    def _read(
+        self, streamer: Id, target: str, reply: Reply
+    ) -> tuple[EndReason, LoadReport | None, Remote | None]:
         load = read_load(reply.header(HEADER))
         if reply.status == 201:
             remote = read_remote(streamer, target, reply)
-            return Ending.FAULTY, load, remote
+            return EndReason.FAULTY, load, remote
         if reply.status == 503:
-            return Ending.FULL, load, None
+            return EndReason.FULL, load, None
         if reply.status in (404, 429):
             # The streamer is sound, it only cannot play this one: nothing is to be held against its link.
-            return Ending.FULL, load or Load(), None
+            return EndReason.FULL, load or LoadReport(), None
         if reply.status in (400, 406, 415, 422):
             # The offer is at fault. Held against streamers, one client could set them all aside.
-            return Ending.NOT_SENT, load, None
-        return Ending.FAULTY, load, None
+            return EndReason.NOT_SENT, load, None
+        return EndReason.FAULTY, load, None
 
     def _set_rung(self, session: Session, number: int) -> None:
         # One after the other, the newest rung last: two at once could arrive in the other order.
@@ -258,7 +260,7 @@
                     continue
                 if gone:
                     self._over((session.viewing, number))
-                    self.host.ended(self.clock(), session.viewing, number, Ending.BROKEN)
+                    self.host.ended(self.clock(), session.viewing, number, EndReason.BROKEN)
         finally:
             session.setting = False
 
@@ -274,14 +276,14 @@
 
     def _probe(self, streamer: Id) -> None:
         began = self.clock()
-        how, load = Ending.PLAYED, None
+        how, load = EndReason.PLAYED, None
         try:
             target = self.targets["whep"].format(title="-", rung=0)
             load = read_load(self._call(streamer, "OPTIONS", target, b"", 0.5).header(HEADER))
         except TimeoutError:
-            how = Ending.TIMED_OUT
+            how = EndReason.TIMED_OUT
         except (OSError, h11.ProtocolError, KeyError):
-            how = Ending.UNREACHED
+            how = EndReason.UNREACHED
         now = self.clock()
         self.host.probed(now, streamer, how, now - began, load)
 
@@ -330,7 +332,7 @@
     def load_told(self, streamer: Id, uplink: bool, ratio: float) -> None:
         self.host.load_told(self.clock(), streamer, uplink, None, ratio)
 
-    def ended_at(self, streamer: Id, resource: str, how: Ending) -> None:
+    def ended_at(self, streamer: Id, resource: str, how: EndReason) -> None:
         """A streamer says that one of its sessions ended."""
         for (viewing, number), remote in list(self.remotes.items()):
             if remote.streamer == streamer and remote.path == resource:
@@ -341,13 +343,13 @@
     def lost(self, streamer: Id, target: str, cause: str) -> None:
         """A streamer's process is gone, and all that it played with it; `target` was its event stream."""
         self.followers.pop((streamer, target), None)
-        held = self.host.held(streamer)
+        held = self.host.playing_at(streamer)
         log.warning("streamer lost", streamer=streamer, viewings=len(held), cause=cause)
         for viewing, number in held:
             # If it lives after all, only cut off from here, it is to let go of what nobody here knows any
             # more.
             self.tear_down(viewing, number, streamer, False)
-            self.host.ended(self.clock(), viewing, number, Ending.BROKEN)
+            self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
     def close(self) -> None:
         for follower in self.followers.values():
--- a/herongap/etcd/directory.py
+++ b/herongap/etcd/directory.py
@@ -9,7 +9,7 @@
 
 from herongap.etcd.follower import Change, Item
 from herongap.etcd.keys import Bad, StreamerValue, read_value, split
-from herongap.interface import Listed, Standing
+from herongap.interface import StreamerEntry, StreamerStatus
 
 
 class Directory:
@@ -25,7 +25,7 @@
         self.drains: set[str] = set()
         self.controllers: dict[int, str] = {}
         self.bad: dict[str, str] = {}
-        self._gone: dict[str, Listed] = {}
+        self._gone: dict[str, StreamerEntry] = {}
 
     def take(self, now: float, changes: Iterable[Change], first: bool = False) -> set[str]:
         """Changes of keys; gives the streamers whose lines are others now.
@@ -101,27 +101,27 @@
 
     def _leave(self, name: str) -> None:
         if name in self.streamers:
-            self._gone[name] = self.line(name)._replace(standing=Standing.LEFT)
+            self._gone[name] = self.line(name)._replace(status=StreamerStatus.LEFT)
             del self.streamers[name], self.started[name]
 
-    def line(self, name: str) -> Listed:
+    def line(self, name: str) -> StreamerEntry:
         """A streamer as the module wants it; one that is no longer listed has left."""
         value = self.streamers.get(name)
         if value is None:
             return self._gone[name]
-        standing = Standing.LEAVING if name in self.drains else Standing.ACTIVE
+        standing = StreamerStatus.LEAVING if name in self.drains else StreamerStatus.ACTIVE
         cell, rack = value.cell or name, value.rack or name
         started = self.started[name]
-        return Listed(name, value.zone, value.kind, name, cell, rack, standing, value.weight, started)
+        return StreamerEntry(name, value.zone, value.kind, name, cell, rack, standing, value.weight, started)
 
-    def lines(self, names: Iterable[str]) -> tuple[Listed, ...]:
+    def lines(self, names: Iterable[str]) -> tuple[StreamerEntry, ...]:
         """The lines of some streamers; those that have left are forgotten with it."""
         found = tuple(self.line(name) for name in sorted(names))
         for line in found:
             self._gone.pop(line.streamer, None)
         return found
 
-    def whole(self) -> tuple[Listed, ...]:
+    def whole(self) -> tuple[StreamerEntry, ...]:
         """The whole list."""
         self._gone.clear()
         return self.lines(self.streamers)
--- a/herongap/fleet/baselines.py
+++ b/herongap/fleet/baselines.py
@@ -13,17 +13,17 @@
     """Any holder with room, by chance."""
 
     def pick(self, now, vw, room):
-        return room[int(self.known.chance() * len(room))]
+        return room[int(self.state.random_fraction() * len(room))]
 
 
 class RoundRobin:
     """The holders with room in turn, by sorted ids, one turn for each package."""
 
     def pick(self, now, vw, room):
-        room = sorted(room, key=lambda st: st.line.streamer)
-        last = self.turn.get(vw.package.name)
-        st = room[0] if last is None else next((st for st in room if st.line.streamer > last), room[0])
-        self.turn[vw.package.name] = st.line.streamer
+        room = sorted(room, key=lambda st: st.entry.streamer)
+        last = self.last_chosen.get(vw.package.name)
+        st = room[0] if last is None else next((st for st in room if st.entry.streamer > last), room[0])
+        self.last_chosen[vw.package.name] = st.entry.streamer
         return st
 
 
@@ -31,21 +31,21 @@
     """The holder with room that has the fewest of this controller's own viewings."""
 
     def pick(self, now, vw, room):
-        return min(room, key=lambda st: (len(st.held), self.known.chance()))
+        return min(room, key=lambda st: (len(st.viewings), self.state.random_fraction()))
 
 
 class TwoChoices:
     """Of two holders with room, drawn by chance, the one with fewer own viewings (Mitzenmacher, 2001)."""
 
     def pick(self, now, vw, room):
-        drawn = [room[int(self.known.chance() * len(room))] for _ in range(2)]
-        return min(drawn, key=lambda st: len(st.held))
+        drawn = [room[int(self.state.random_fraction() * len(room))] for _ in range(2)]
+        return min(drawn, key=lambda st: len(st.viewings))
 
 
 class Blind:
     """Sees every ready holder as empty."""
 
-    def use(self, now, st, more=0.0):
+    def utilization(self, now, st, more=0.0):
         return 0.0
 
 
@@ -60,11 +60,11 @@
 
 
 BASELINES = {
-    "random": {"Table": RandomHolder},
-    "round-robin": {"Table": RoundRobin},
-    "least-used": {"Table": LeastUsed},
-    "two-choices": {"Table": TwoChoices},
-    "blind": {"Table": RandomHolder, "Known": Blind, "Playing": Unmoved},
+    "random": {"QualityTable": RandomHolder},
+    "round-robin": {"QualityTable": RoundRobin},
+    "least-used": {"QualityTable": LeastUsed},
+    "two-choices": {"QualityTable": TwoChoices},
+    "blind": {"QualityTable": RandomHolder, "ControllerState": Blind, "RungControl": Unmoved},
 }
 
 
--- a/herongap/fleet/fit.py
+++ b/herongap/fleet/fit.py
@@ -13,7 +13,7 @@
 from scipy import optimize, stats
 
 from herongap.errors import Unusable
-from herongap.host.record import read
+from herongap.host.record import read_record
 
 FAMILIES = {
     "exponential": stats.expon,
@@ -62,8 +62,8 @@
 
 
 def fit_record(lines: Iterable[bytes]) -> Fit:
-    """Raises Torn for what is no record, ValueError for one with too few viewings."""
-    _, inputs = read(lines)
+    """Raises RecordError for what is no record, ValueError for one with too few viewings."""
+    _, inputs = read_record(lines)
     asked, sent, started, last = {}, {}, {}, 0.0
     lengths, set_ups = [], []
     first = None
--- a/herongap/fleet/machine.py
+++ b/herongap/fleet/machine.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from herongap.fleet.links import equal, max_min
-from herongap.interface import Load
+from herongap.interface import LoadReport
 
 
 class Kind(NamedTuple):
@@ -174,13 +174,13 @@
         self.mute = self.muted()
         self.rack.share_out(now)
 
-    def load(self, at: float | None = None) -> Load:
+    def load(self, at: float | None = None) -> LoadReport:
         """Asked over given of link and uplink, now or as it was at a time before."""
         if at is not None:
             for then, ratio, rack, _ in reversed(self.past):
                 if then <= at:
-                    return Load(ratio, None, rack)
-        return Load(self.ratio, None, self.rack.ratio)
+                    return LoadReport(ratio, None, rack)
+        return LoadReport(self.ratio, None, self.rack.ratio)
 
     def share_at(self, at: float) -> float:
         """The share that was delivered at a time before."""
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -16,9 +16,9 @@
 from herongap.fleet.errors import NotModelled
 from herongap.fleet.machine import Kind, Machine, Rack, Session
 from herongap.host import Answer, Host
-from herongap.host.pulse import GONE, LOST, SILENT
+from herongap.host.liveness import LOST_AFTER_SECONDS, SILENT_AFTER_SECONDS, STREAM_GONE_AFTER_SECONDS
 from herongap.ini import Site, parse_site
-from herongap.interface import Asked, Ending, Listed, Load, Standing
+from herongap.interface import EndReason, LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 from herongap.rules import Controller
 
 Id = int | str
@@ -34,7 +34,7 @@
 class Out(NamedTuple):
     """A tune-in on its way, as the model's network knows it."""
 
-    ask: Asked
+    ask: ViewingRequest
     number: int
     streamer: str
     rung: int
@@ -58,7 +58,7 @@
 
     # The port.
 
-    def tune_in(self, ask: Asked, number: int, streamer: str, rung: int, time_out: float) -> None:
+    def tune_in(self, ask: ViewingRequest, number: int, streamer: str, rung: int, time_out: float) -> None:
         self.outs[ask.viewing, number] = Out(ask, number, streamer, rung)
         self.clock.after(WAY, self._connected, ask.viewing, number)
 
@@ -78,7 +78,7 @@
             del self.clients[viewing]
         self.clock.after(CLIENT_MS, client.answered, self, viewing, answer)
 
-    def over(self, viewing: Id, how: Ending) -> None:
+    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
         self.clients.pop(viewing, None)
 
     def probe(self, streamer: str) -> None:
@@ -87,10 +87,10 @@
     def follow(self) -> None:
         return None
 
-    def tell(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, words: bytes) -> None:
         return None
 
-    def short(self, whole: str) -> None:
+    def request_budget(self, whole: str) -> None:
         """No wholes are divided here; `fleet/settling.py` has those."""
 
     def wake(self, at: float) -> None:
@@ -109,11 +109,11 @@
             return
         machine = self.model.machines[out.streamer]
         if not machine.running or not self.host.sendable(viewing, number, self.clock.now):
-            self.ended(viewing, number, Ending.UNREACHED)
+            self.ended(viewing, number, EndReason.UNREACHED)
             return
         machine.post(self, out)
 
-    def started(self, viewing: Id, number: int, streamer: str, session: Session, load: Load) -> None:
+    def started(self, viewing: Id, number: int, streamer: str, session: Session, load: LoadReport) -> None:
         if not self.up:
             return
         self.outs.pop((viewing, number), None)
@@ -121,7 +121,7 @@
         if self.host.started(self.clock.now, viewing, number, streamer, load):
             self.follows.add(streamer)
 
-    def ended(self, viewing: Id, number: int, how: Ending, load: Load | None = None) -> None:
+    def ended(self, viewing: Id, number: int, how: EndReason, load: LoadReport | None = None) -> None:
         self.outs.pop((viewing, number), None)
         if self.up:
             self.host.ended(self.clock.now, viewing, number, how, load)
@@ -134,7 +134,7 @@
         if self.up:
             self.host.share_told(self.clock.now, streamer, share)
 
-    def told_load(self, streamer: str, load: Load) -> None:
+    def told_load(self, streamer: str, load: LoadReport) -> None:
         for uplink, ratio in ((False, load.link), (True, load.rack)):
             if self.up:
                 self.host.load_told(self.clock.now, streamer, uplink, None, ratio)
@@ -143,15 +143,17 @@
         """A streamer's process is gone, and all that it played with it."""
         if self.up:
             self.follows.discard(streamer)
-            for viewing, number in self.host.held(streamer):
+            for viewing, number in self.host.playing_at(streamer):
                 self.tear_down(viewing, number, streamer, False)
-                self.host.ended(self.clock.now, viewing, number, Ending.BROKEN)
+                self.host.ended(self.clock.now, viewing, number, EndReason.BROKEN)
 
     def _probed(self, streamer: str) -> None:
         machine = self.model.machines[streamer]
         fine = machine.running and not machine.muted(self)
         if self.up:
-            how = Ending.PLAYED if fine else Ending.TIMED_OUT if machine.running else Ending.UNREACHED
+            how = (
+                EndReason.PLAYED if fine else EndReason.TIMED_OUT if machine.running else EndReason.UNREACHED
+            )
             self.host.probed(self.clock.now, streamer, how, 2 * WAY, machine.machine.load() if fine else None)
 
 
@@ -198,11 +200,11 @@
         bad = self.faults.get("fail")
         if self.machine.fallen or (bad and chance < bad.get("part", 1.0)):
             self.log("refused", identity=identity, status=500)
-            self.clock.after(WAY, front.ended, viewing, number, Ending.FAULTY)
+            self.clock.after(WAY, front.ended, viewing, number, EndReason.FAULTY)
             return
         if self.machine.full():
             self.log("refused", identity=identity, status=503)
-            self.clock.after(WAY, front.ended, viewing, number, Ending.FULL, self.machine.load())
+            self.clock.after(WAY, front.ended, viewing, number, EndReason.FULL, self.machine.load())
             return
         self.count += 1
         name, now = f"{self.model.boots}-{self.count}", self.clock.now
@@ -214,7 +216,7 @@
         self.clock.after(self.model.kind.join_wait, self._unjoined, session)
         if "lose" in self.faults:
             self.log("unanswered", identity=identity, session=session.name)
-            self.clock.after(WAY, front.ended, viewing, number, Ending.BROKEN)
+            self.clock.after(WAY, front.ended, viewing, number, EndReason.BROKEN)
             return
         load = self.machine.load()
         self.clock.after(WAY, front.started, viewing, number, self.name, session, load)
@@ -253,7 +255,7 @@
         self.log("ended", identity=session.identity, session=session.name, reason=reason, **told)
         front = self.model.names.get(session.front)
         if tell and front and not self.muted(front):
-            how = Ending.PLAYED if reason == "viewer-gone" else Ending.BROKEN
+            how = EndReason.PLAYED if reason == "viewer-gone" else EndReason.BROKEN
             self.clock.after(WAY, front.ended, *session.resource, how)
 
     # Its process, and its faults.
@@ -267,11 +269,11 @@
             self.end(session, "died", tell=False)
         for (name, viewing, number), front in list(self.waiting.items()):
             self.log("hung-up", identity=self.model.identities[name, viewing])
-            self.clock.after(WAY, front.ended, viewing, number, Ending.BROKEN)
+            self.clock.after(WAY, front.ended, viewing, number, EndReason.BROKEN)
         self.waiting.clear()
         for front in self.model.fronts.values():
             if front and self.name in front.follows:
-                self.clock.after(GONE + WAY, self._gone, front)
+                self.clock.after(STREAM_GONE_AFTER_SECONDS + WAY, self._gone, front)
 
     def _gone(self, front: Front) -> None:
         if self.name in front.follows:
@@ -291,7 +293,7 @@
         quiet = bool(self.faults.keys() & {"silent", "hang", "cut"})
         if quiet and self.silent_since is None:
             self.silent_since = now
-            self.clock.after(SILENT, self._silence, now)
+            self.clock.after(SILENT_AFTER_SECONDS, self._silence, now)
         elif not quiet:
             self.silent_since = None
 
@@ -302,7 +304,7 @@
         quiet = self.clock.now - since
         for front in list(self.model.fronts.values()):
             if front and self.name in front.follows and self.muted(front):
-                if quiet >= LOST:
+                if quiet >= LOST_AFTER_SECONDS:
                     front.lost(self.name)
                 else:
                     front.told_share(self.name, 0.0)
@@ -382,8 +384,8 @@
         holders = self.model.script.titles[self.arrival.title]
         front.host.asked(
             self.clock.now,
-            Asked(viewing, self.identity, self.arrival.package, None, self.arrival.title, frozenset(holders),
-                  min(package.top, self.arrival.top), left, None, False, False),
+            ViewingRequest(viewing, self.identity, self.arrival.package, None, self.arrival.title,
+                           frozenset(holders), min(package.top, self.arrival.top), left, None, False, False),
         )  # fmt: skip
 
     def _hang_up(self, front: Front, viewing: Id) -> None:
@@ -408,7 +410,7 @@
         if answer.verdict == "plays":
             self._answer(201, location=viewing)
             self.began = self.clock.now
-            life = front.host.lives.get(viewing)
+            life = front.host.viewings.get(viewing)
             session = front.plays.get((viewing, life.number)) if life else None
             if session is None:
                 self._lost_now()  # it ended on the way
@@ -570,10 +572,12 @@
             if front:
                 self.clock.after(LOOK / 2, self._list_to, front)
 
-    def _line(self, shown: tuple[str, str, float | None]) -> Listed:
+    def _line(self, shown: tuple[str, str, float | None]) -> StreamerEntry:
         name, standing, started = shown
         zone, rack = self.machines[name].machine.zone, self.racked[name]
-        return Listed(name, zone, "std", name, name, rack, Standing[standing.upper()], 1.0, started)
+        return StreamerEntry(
+            name, zone, "std", name, name, rack, StreamerStatus[standing.upper()], 1.0, started
+        )
 
     def _list_to(self, front: Front) -> None:
         if front.up:
--- a/herongap/host/__init__.py
+++ b/herongap/host/__init__.py
@@ -6,23 +6,23 @@
 """
 
 from herongap.host.host import Host
-from herongap.host.life import Answer, Life, State
 from herongap.host.port import Port
-from herongap.host.record import Recorder, Torn, read
-from herongap.host.repeats import Again, Repeats
+from herongap.host.record import Recorder, RecordError, read_record
+from herongap.host.repeats import RepeatDetector, RepeatMatch
 from herongap.host.replay import Difference, replay
+from herongap.host.viewing import Answer, HostedViewing, ViewingState
 
 __all__ = [
-    "Again",
     "Answer",
     "Difference",
     "Host",
-    "Life",
+    "HostedViewing",
     "Port",
+    "RecordError",
     "Recorder",
-    "Repeats",
-    "State",
-    "Torn",
-    "read",
+    "RepeatDetector",
+    "RepeatMatch",
+    "ViewingState",
+    "read_record",
     "replay",
 ]
--- a/herongap/host/port.py
+++ b/herongap/host/port.py
@@ -2,8 +2,8 @@
 
 from typing import Protocol
 
-from herongap.host.life import Answer
-from herongap.interface import Asked, Ending
+from herongap.host.viewing import Answer
+from herongap.interface import EndReason, ViewingRequest
 
 Id = int | str
 
@@ -14,7 +14,7 @@
     No method may call the host back before it returns: what comes of an effect is an input of its own, later.
     """
 
-    def tune_in(self, ask: Asked, number: int, streamer: Id, rung: int, time_out: float) -> None:
+    def tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
         """Ask the streamer to start the viewing on that rung. The host itself ends it after `time_out`
         seconds.
 
@@ -33,7 +33,7 @@
     def answer(self, viewing: Id, answer: Answer) -> None:
         """Give the viewer the one answer to its request."""
 
-    def over(self, viewing: Id, how: Ending) -> None:
+    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
         """A viewing that played has ended: its viewer's resource goes."""
 
     def probe(self, streamer: Id) -> None:
@@ -42,10 +42,10 @@
     def follow(self) -> None:
         """Follow the list of streamers from now on."""
 
-    def tell(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, words: bytes) -> None:
         """Send a short message to another controller, -1 for all."""
 
-    def short(self, whole: str) -> None:
+    def request_budget(self, whole: str) -> None:
         """More of a whole that is divided among the controllers is wanted here."""
 
     def wake(self, at: float) -> None:
--- a/herongap/host/record.py
+++ b/herongap/host/record.py
@@ -13,23 +13,23 @@
 import msgspec
 
 from herongap.errors import Unusable
-from herongap.interface import Asked, Charter, Ending, Listed, Load
+from herongap.interface import DeploymentConfig, EndReason, LoadReport, StreamerEntry, ViewingRequest
 
 VERSION = 1
 Id = int | str
 # What each input takes after the time; the order is that of Host's methods.
 INPUTS: dict[str, tuple] = {
-    "listed": (str, tuple[Listed, ...]),
-    "asked": (Asked,),
-    "started": (Id, int, Id, Load | None),
-    "adopted": (Asked, int, Id, int),
-    "ended": (Id, int, Ending, Load | None),
+    "listed": (str, tuple[StreamerEntry, ...]),
+    "asked": (ViewingRequest,),
+    "started": (Id, int, Id, LoadReport | None),
+    "adopted": (ViewingRequest, int, Id, int),
+    "ended": (Id, int, EndReason, LoadReport | None),
     "left": (Id,),
     "torn_down": (Id, int),
     "share_told": (Id, float),
     "rung_told": (Id, int),
     "load_told": (Id, bool, Id | None, float),
-    "probed": (Id, Ending, float, Load | None),
+    "probed": (Id, EndReason, float, LoadReport | None),
     "counted": (int | None, int),
     "given": (str, int),
     "heard": (int, bytes),
@@ -37,7 +37,7 @@
 }
 
 
-class Torn(Unusable):
+class RecordError(Unusable):
     """A record that cannot be read; the line is counted from 1."""
 
     advice = "the lines before it are sound: cut the file there"
@@ -48,7 +48,7 @@
 
     now: float
     seed: int
-    charter: Charter
+    config: DeploymentConfig
 
 
 class Input(NamedTuple):
@@ -67,7 +67,7 @@
     def __init__(self, write: Callable[[bytes], object]):
         self._write, self._encode = write, msgspec.json.Encoder(enc_hook=list).encode
 
-    def start(self, now: float, seed: int, charter: Charter) -> None:
+    def start(self, now: float, seed: int, charter: DeploymentConfig) -> None:
         head = {"herongap_record": VERSION, "now": now, "seed": seed, "charter": charter}
         self._write(self._encode(head) + b"\n")
 
@@ -78,20 +78,20 @@
         self._write(self._encode(decision) + b"\n")
 
 
-def read(lines: Iterable[bytes]) -> tuple[Start, Iterator[Input]]:
+def read_record(lines: Iterable[bytes]) -> tuple[Start, Iterator[Input]]:
     """The start of a record and its inputs, each with its decisions.
 
-    Raises Torn for anything but a last line cut short. Decisions before the first input come with an input
-    named "start".
+    Raises RecordError for anything but a last line cut short. Decisions before the first input come with an
+    input named "start".
     """
     numbered = enumerate(lines, 1)
     try:
         head = msgspec.json.decode(next(numbered)[1])
         if head.get("herongap_record") != VERSION:
-            raise Torn(f"line 1: not a record of version {VERSION}: {head.get('herongap_record')!r}")
-        start = Start(head["now"], head["seed"], msgspec.convert(head["charter"], Charter))
+            raise RecordError(f"line 1: not a record of version {VERSION}: {head.get('herongap_record')!r}")
+        start = Start(head["now"], head["seed"], msgspec.convert(head["charter"], DeploymentConfig))
     except (StopIteration, msgspec.MsgspecError, KeyError, AttributeError) as fault:
-        raise Torn(f"line 1: no record begins here ({fault!r})") from fault
+        raise RecordError(f"line 1: no record begins here ({fault!r})") from fault
     return start, _inputs(numbered, start.now)
 
 
@@ -108,10 +108,10 @@
             at, name, args = value
             types = INPUTS[name]
             if len(types) != len(args):
-                raise Torn(f"{name} takes {len(types)} arguments")
+                raise RecordError(f"{name} takes {len(types)} arguments")
             args = tuple(msgspec.convert(arg, kind) for arg, kind in zip(args, types, strict=True))
         except (msgspec.MsgspecError, KeyError, ValueError, TypeError, IndexError) as fault:
-            raise Torn(f"line {number}: {fault!r}") from fault
+            raise RecordError(f"line {number}: {fault!r}") from fault
         yield current
         current = Input(number, at, name, args, [])
     yield current
--- a/herongap/host/replay.py
+++ b/herongap/host/replay.py
@@ -6,21 +6,21 @@
 import msgspec
 
 from herongap.host.host import Host
-from herongap.host.record import Input, Recorder, read
-from herongap.interface import Charter
+from herongap.host.record import Input, Recorder, read_record
+from herongap.interface import DeploymentConfig
 from herongap.rules import Controller
 
 Id = int | str
 
 
-class Quiet:
+class NullPort:
     """A port without effects."""
 
     def _nothing(self, *args) -> None:
         return None
 
-    tune_in = call_off = set_rung = tear_down = answer = over = probe = _nothing
-    follow = tell = short = wake = _nothing
+    tune_in = call_off = set_rung = tear_down = answer = viewing_ended = probe = _nothing
+    follow = send_to_peer = request_budget = wake = _nothing
 
 
 class Difference(NamedTuple):
@@ -44,11 +44,11 @@
     """Run a record; yields each input with the decisions taken here, in the shape that a record gives
     them.
     """
-    start, inputs = read(lines)
+    start, inputs = read_record(lines)
     taken: list[tuple] = []
 
     class Keep(Recorder):
-        def start(self, now: float, seed: int, charter: Charter) -> None:
+        def start(self, now: float, seed: int, charter: DeploymentConfig) -> None:
             return None
 
         def input(self, now: float, name: str, args: tuple) -> None:
@@ -58,7 +58,7 @@
             # Through the record's own form, so that both sides compare alike.
             taken.append(tuple(msgspec.json.decode(msgspec.json.encode(decision, enc_hook=list))))
 
-    host = Host(start.now, start.seed, start.charter, Quiet(), Keep(lambda _: None), make)
+    host = Host(start.now, start.seed, start.config, NullPort(), Keep(lambda _: None), make)
     for entry in inputs:
         if entry.name != "start":
             getattr(host, entry.name)(entry.now, *entry.args)
@@ -95,7 +95,7 @@
 def explain(lines: Iterable[bytes], viewing: Id, make: Callable = Controller) -> Iterator[str]:
     """What happened to one viewing and what was known each time it was decided on, a text a line."""
     for step in steps(lines, make):
-        entry, life = step.input, step.host.lives.get(viewing)
+        entry, life = step.input, step.host.viewings.get(viewing)
         names = [arg.viewing if hasattr(arg, "viewing") else arg for arg in entry.args]
         if entry.name not in ("listed", "share_told", "probed") and viewing in names:
             yield f"{entry.now:.3f} {entry.name} {_plain(entry.args)}"
@@ -103,23 +103,23 @@
             if len(decision) > 1 and decision[1] == viewing and decision[0] != "wake":
                 yield f"{entry.now:.3f}   -> {_plain(decision)}"
                 if decision[0] == "tune_in" and life:
-                    yield from _holders(entry.now, step.host, life.ask, decision[2])
+                    yield from _holders(entry.now, step.host, life.request, decision[2])
 
 
 def _holders(now: float, host: Host, ask, chosen: Id) -> Iterator[str]:
     """Each holder as the module saw it, the chosen one marked; figures are those just after the choice."""
-    known, ranks = host.module.known, host.module.table.ranks
-    for st in sorted(known.streamers.values(), key=lambda st: str(st.line.streamer)):
-        line = st.line
-        if line.shelf not in ask.holders:
+    known, ranks = host.module.state, host.module.quality_table.ranks
+    for st in sorted(known.streamers.values(), key=lambda st: str(st.entry.streamer)):
+        line = st.entry
+        if line.holder_id not in ask.holders:
             continue
         score = ranks.get((ask.package, line.streamer))
         yield (
-            f"        {'*' if line.streamer == chosen else ' '} {line.streamer} {line.standing.name.lower()}"
-            f" zone {line.zone} link {st.link.use(now, known.usual):.2f}"
-            f" uplink {st.rack.use(now, known.usual):.2f} holds {len(st.held)}"
+            f"        {'*' if line.streamer == chosen else ' '} {line.streamer} {line.status.name.lower()}"
+            f" zone {line.zone} link {st.link.utilization(now, known.usual_load):.2f}"
+            f" uplink {st.rack.utilization(now, known.usual_load):.2f} holds {len(st.viewings)}"
             f" score {'thin' if score is None else format(score, '.1f')}"
-            + (f" set aside for {st.back - now:.1f} s" if st.back > now else "")
+            + (f" set aside for {st.set_aside_until - now:.1f} s" if st.set_aside_until > now else "")
             + (" cold" if now - st.started < known.warm_up else "")
         )
 
--- a/herongap/ini/files.py
+++ b/herongap/ini/files.py
@@ -9,7 +9,7 @@
 
 from herongap.errors import Unusable
 from herongap.http import read_url
-from herongap.interface import Listed, Standing
+from herongap.interface import StreamerEntry, StreamerStatus
 
 
 class BadList(Unusable):
@@ -52,7 +52,7 @@
         return self.titles.get("*") if named is None else named
 
 
-def read_list(data: bytes, epoch: float) -> tuple[tuple[Listed, ...], dict[str, tuple[str, int]]]:
+def read_list(data: bytes, epoch: float) -> tuple[tuple[StreamerEntry, ...], dict[str, tuple[str, int]]]:
     """The lines of a list and each streamer's address; `epoch` is the host's clock at the epoch's zero.
 
     Raises ValueError, and takes nothing, if any entry is bad: half a list would look like streamers that
@@ -70,14 +70,14 @@
         addresses[e.id] = address
         started = None if e.started is None else e.started + epoch
         lines.append(
-            Listed(
+            StreamerEntry(
                 e.id,
                 e.zone,
                 e.kind,
                 e.id,
                 e.cell or e.id,
                 e.rack or e.id,
-                Standing[e.standing.upper()],
+                StreamerStatus[e.standing.upper()],
                 e.weight,
                 started,
             )
--- a/herongap/ini/site.py
+++ b/herongap/ini/site.py
@@ -26,7 +26,7 @@
     WholeTerms,
 )
 from herongap.intake import Bounds
-from herongap.interface import Charter, Counted, Group, Package, Repeat, Whole
+from herongap.interface import BudgetScope, DeploymentConfig, FleetBudget, Package, RepeatSafety, RepeatScope
 
 
 class Faults(Unusable):
@@ -41,7 +41,7 @@
     """
 
     front: Front
-    charter: Charter
+    charter: DeploymentConfig
     patience: dict[str, float]
     protocols: dict[str, list[str]]
     defaults: dict[str, str]
@@ -150,8 +150,8 @@
             name,
             p.join_target,
             p.value,
-            Repeat[p.repeat.upper()],
-            Group[p.group.upper()],
+            RepeatSafety[p.repeat.upper()],
+            RepeatScope[p.group.upper()],
             p.repeat_window,
             p.scale,
             p.floor,
@@ -161,7 +161,7 @@
         )
         for name, p in named["package"].items()
     )
-    charter = Charter(
+    charter = DeploymentConfig(
         me=front.number,
         zone=front.zone,
         controllers=front.controllers,
@@ -187,7 +187,9 @@
         extra_share=budget.share if budget else 0.0,
         extra_window=budget.window if budget else 0.0,
         wholes=tuple(
-            Whole(name, Counted[w.counts.upper()], w.package or None, w.member or None, w.title or None)
+            FleetBudget(
+                name, BudgetScope[w.counts.upper()], w.package or None, w.member or None, w.title or None
+            )
             for name, w in named["budget"].items()
         ),
     )
--- a/herongap/interface.py
+++ b/herongap/interface.py
@@ -27,7 +27,7 @@
 from typing import NamedTuple
 
 
-class Repeat(Enum):
+class RepeatSafety(Enum):
     """What a second set-up of one viewing would do."""
 
     HARMLESS = 1
@@ -35,7 +35,7 @@
     HARMFUL = 3
 
 
-class Group(Enum):
+class RepeatScope(Enum):
     """The streamers among which a repeat of an IN_GROUP package is recognised."""
 
     ALL = 1
@@ -43,7 +43,7 @@
     CELL = 3
 
 
-class Ending(Enum):
+class EndReason(Enum):
     """How a tune-in, or the viewing it started, ended."""
 
     PLAYED = 1
@@ -57,7 +57,7 @@
     UNKNOWN = 9
 
 
-class Standing(Enum):
+class StreamerStatus(Enum):
     """What the list says of a streamer."""
 
     ACTIVE = 1
@@ -65,7 +65,7 @@
     LEFT = 3
 
 
-class Counted(Enum):
+class BudgetScope(Enum):
     """What a whole that is divided among the controllers bounds: what is held at one time, or (the others)
     what is begun in a window.
     """
@@ -76,11 +76,11 @@
     COLD = 4  # tune-ins at streamers that may have just started
 
 
-class Whole(NamedTuple):
+class FleetBudget(NamedTuple):
     """One whole that is divided among the controllers, and what counts for it; None: any."""
 
     name: str
-    counted: Counted
+    scope: BudgetScope
     package: str | None = None
     member: str | None = None
     title: int | str | None = None
@@ -92,8 +92,8 @@
     name: str
     join_target: float
     value: float
-    repeat: Repeat
-    group: Group
+    repeat: RepeatSafety
+    group: RepeatScope
     repeat_window: float
     scale: float
     floor: int
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Charter:
+class DeploymentConfig:
     """What a deployment states at start, in our units."""
 
     me: int
@@ -129,29 +129,29 @@
     extra_free: float | None
     extra_share: float
     extra_window: float
-    wholes: tuple[Whole, ...] = ()
+    wholes: tuple[FleetBudget, ...] = ()
     fall_within: float = 1.0
 
 
-class Listed(NamedTuple):
+class StreamerEntry(NamedTuple):
     """One line of the list of streamers; started is None when it has run for long.
 
-    `shelf` is what a catalogue names as a holder: the streamer itself, or what it shares its titles with.
+    `holder_id` is what a catalogue names as a holder: the streamer itself, or what it shares its titles with.
     `cell` is the group in which an IN_GROUP repeat is recognised, `rack` the uplink that it shares.
     """
 
     streamer: int | str
     zone: str
     kind: str
-    shelf: int | str
+    holder_id: int | str
     cell: int | str
     rack: int | str
-    standing: Standing
+    status: StreamerStatus
     weight: float
     started: float | None
 
 
-class Asked(NamedTuple):
+class ViewingRequest(NamedTuple):
     """A request for a viewing; left is what remains of the viewer's patience, length a hint or None.
 
     `holders` names the shelves that hold the title, in any order.
@@ -164,13 +164,13 @@
     title: int | str
     holders: Collection[int | str]
     top: int
-    left: float
+    time_left: float
     length: float | None
     moved: bool
-    again: bool
+    is_retry: bool
 
 
-class Load(NamedTuple):
+class LoadReport(NamedTuple):
     """A streamer's own report of what is asked over what is given; None where it does not say."""
 
     link: float | None = None
--- a/herongap/node/run.py
+++ b/herongap/node/run.py
@@ -12,7 +12,7 @@
 from herongap import observe
 from herongap.daemon.listen import listen
 from herongap.host import Host
-from herongap.interface import Ending
+from herongap.interface import EndReason
 from herongap.limiter import ConnectionLimiter
 from herongap.node.connection import TRACE
 from herongap.node.resolver import Resolver
@@ -82,7 +82,7 @@
             return
         self.stopping = True
         shutdown = GracefulShutdown(self.clock(), self.launch.longest)
-        log.info("stopping", held=len(self.host.lives))
+        log.info("stopping", held=len(self.host.viewings))
         while shutdown.listens(self.clock()):
             gevent.sleep(0.02)
         # Once more round: what a late process has not accepted yet would be reset with the listener.
@@ -91,7 +91,7 @@
         while not self._over(shutdown):
             gevent.sleep(0.02)
         self.viewers.leave()
-        log.info("stopped", left=len(self.host.lives), **self.host.counts)
+        log.info("stopped", left=len(self.host.viewings), **self.host.counts)
         self.stopped.set()
 
     def _over(self, shutdown: GracefulShutdown) -> bool:
@@ -107,16 +107,16 @@
 
     def beliefs(self) -> dict[str, tuple]:
         """Of each streamer: viewings held, what is asked of its link and uplink over what these give."""
-        now, known = self.clock(), self.host.module.known
+        now, known = self.clock(), self.host.module.state
 
         def use(pipe) -> float:
-            return round(pipe.use(now, known.usual), 3)
+            return round(pipe.utilization(now, known.usual_load), 3)
 
-        return {name: (len(st.held), use(st.link), use(st.rack)) for name, st in known.streamers.items()}
+        return {name: (len(st.viewings), use(st.link), use(st.rack)) for name, st in known.streamers.items()}
 
     def _told(self, roster: Roster) -> None:
-        before = self.host.standing
-        now = {name: line.standing for name, line in roster.lines.items()}
+        before = self.host.statuses
+        now = {name: line.status for name, line in roster.lines.items()}
         changed = {n: s.name.lower() for n, s in now.items() if before.get(n) is not s}
         log.info("list", serial=roster.serial, streamers=len(now), changed=changed,
                  left=sorted(set(before) - set(now)))  # fmt: skip
@@ -134,12 +134,12 @@
         """What a streamer played before its newest start is over, also where it was back before its silence
         could tell: on the connections that follow a new process answers, and knows nothing of it.
         """
-        lives = self.host.lives
-        before = [(vw, number) for vw, number in self.host.held(name) if lives[vw].sent_at < since]
+        lives = self.host.viewings
+        before = [(vw, number) for vw, number in self.host.playing_at(name) if lives[vw].sent_at < since]
         if before:
             log.warning("streamer lost", streamer=name, viewings=len(before), cause="restarted")
         for viewing, number in before:
-            self.host.ended(self.clock(), viewing, number, Ending.BROKEN)
+            self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
     def _feel(self) -> None:
         """How late this process comes to what it has set itself a time for."""
@@ -164,7 +164,7 @@
                 told = self.clock()
                 log.info(
                     "figures",
-                    held=len(self.host.lives),
+                    held=len(self.host.viewings),
                     viewers=len(self.viewers.connections),
                     streamers=len(self.port.lines()),
                     behind=round(worst, 3),
--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -13,9 +13,15 @@
 import structlog
 
 from herongap.daemon.alarm import Alarm
-from herongap.host import Answer, Host, State
-from herongap.host.pulse import PAID, TEST, TESTED, Pulse, Word
-from herongap.interface import Asked, Ending, Load
+from herongap.host import Answer, Host, ViewingState
+from herongap.host.liveness import (
+    PAID_TEST_TIMES,
+    TEST_INTERVAL_SECONDS,
+    TESTED_LOST_AFTER_SECONDS,
+    Liveness,
+    StreamerLiveness,
+)
+from herongap.interface import EndReason, LoadReport, ViewingRequest
 from herongap.node.upstream import Address, Attempt, Line, Upstream, dial, unreached
 from herongap.platform import messages
 from herongap.platform.launch import Launch
@@ -34,14 +40,16 @@
         # Connections that have been still for longer may be closed there while a set-up is on its way.
         self.idle = max(launch.idle - launch.connect, launch.idle / 2) or inf
         self.late = launch.longest + messages.OWED  # the answer to what was given up is known for so long
-        self.pulse = PAID if launch.tests_paid else (TESTED, TEST)
+        self.liveness_times = (
+            PAID_TEST_TIMES if launch.tests_paid else (TESTED_LOST_AFTER_SECONDS, TEST_INTERVAL_SECONDS)
+        )
         self.host: Host | None = None
         self.viewers = None
         self.upstreams: dict[str, Upstream] = {}
         self.attempts: dict[tuple[str, str], Attempt] = {}
         self.given_up: dict[tuple[str, str], float] = {}
         # Ends of viewings that nobody has handed over yet: a release may come before the set-up with `at`.
-        self.released: dict[tuple[str, str], tuple[Ending, float]] = {}
+        self.released: dict[tuple[str, str], tuple[EndReason, float]] = {}
         self.alarm = Alarm(clock)
         self._tests = count(1)
         self.probes: dict[str, tuple[str, float]] = {}
@@ -53,7 +61,7 @@
         now = self.clock()
         for name, address in addresses.items():
             if (upstream := self.upstreams.get(name)) is None:
-                self.upstreams[name] = Upstream(name, address, Pulse(now, *self.pulse))
+                self.upstreams[name] = Upstream(name, address, StreamerLiveness(now, *self.liveness_times))
             elif upstream.address != address:
                 # Its own lines go with it; viewings that it still has are told of on the next.
                 upstream.address, upstream.shut = address, 0.0
@@ -72,7 +80,7 @@
 
     # The port.
 
-    def tune_in(self, ask: Asked, number: int, streamer: str, rung: int, time_out: float) -> None:
+    def tune_in(self, ask: ViewingRequest, number: int, streamer: str, rung: int, time_out: float) -> None:
         attempt = self.attempts[streamer, ask.viewing] = Attempt(ask, number, rung, self.clock() + time_out)
         # Not from within the host's call: all that the system has told by now is heard first.
         gevent.spawn(self._leave, self.upstreams[streamer], attempt)
@@ -89,7 +97,7 @@
         """Whether descriptors are left for a connection of its own to each set-up."""
         return sum(len(one.lines) + one.connecting for one in self.upstreams.values()) < (most or self.most)
 
-    def ended(self, viewing: str, streamer: str) -> Ending | None:
+    def ended(self, viewing: str, streamer: str) -> EndReason | None:
         """How a viewing that is handed over only now has ended already, if it has."""
         return self.released.pop((streamer, viewing), (None,))[0]
 
@@ -109,7 +117,7 @@
     def answer(self, viewing: str, answer: Answer) -> None:
         self.viewers.answer(viewing, answer)
 
-    def over(self, viewing: str, how: Ending) -> None:
+    def viewing_ended(self, viewing: str, how: EndReason) -> None:
         self.viewers.over(viewing, how)
 
     def probe(self, streamer: str) -> None:
@@ -119,10 +127,10 @@
 
     def follow(self) -> None: ...  # the resolver is asked from the start
 
-    def tell(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, words: bytes) -> None:
         log.warning("no way to controllers", peer=peer)
 
-    def short(self, whole: str) -> None: ...  # the platform has no store to divide wholes through
+    def request_budget(self, whole: str) -> None: ...  # the platform has no store to divide wholes through
 
     def wake(self, at: float) -> None:
         self.alarm.set(at)
@@ -188,7 +196,7 @@
             return True
         # Its drain was heard meanwhile: it never left, and the streamer is sound.
         del self.attempts[key]
-        self.host.ended(self.clock(), viewing, attempt.number, Ending.FULL, Load())
+        self.host.ended(self.clock(), viewing, attempt.number, EndReason.FULL, LoadReport())
         return False
 
     def _send(self, line: Line, attempt: Attempt) -> None:
@@ -245,7 +253,9 @@
         upstream.lost(line)
         if other := upstream.owed and upstream.sound(False, self.clock(), self.idle):
             upstream.pay(other, self.clock())
-        if not upstream.gone and (upstream.owed or (not line.half_closed and self.host.held(upstream.name))):
+        if not upstream.gone and (
+            upstream.owed or (not line.half_closed and self.host.playing_at(upstream.name))
+        ):
             # A release may have been lost with it; its streamer sends that again on the next that opens.
             self._need(upstream)
         for attempt in list(line.attempts.values()):  # what comes of one may take others back
@@ -256,28 +266,30 @@
             log.info("connection lost under a tune-in", streamer=upstream.name, cause=line.cause)
             if line.unsent(attempt.sent):
                 # It never left whole, so nothing ran.
-                self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, Ending.UNREACHED)
+                self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, EndReason.UNREACHED)
                 continue
             # It may have run, and may play there to nobody.
             self._release(upstream, attempt.ask.viewing)
             self.given_up[key] = self.clock() + self.late
-            self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, Ending.BROKEN)
+            self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, EndReason.BROKEN)
 
     def _gone(self, upstream: Upstream, cause: str) -> None:
         """A streamer's process is gone, and all that it played with it."""
-        held = self.host.held(upstream.name)
+        held = self.host.playing_at(upstream.name)
         if held:
             log.warning("streamer lost", streamer=upstream.name, viewings=len(held), cause=cause)
         upstream.ends(cause != "silent")
         for line in list(upstream.lines):
             line.close(cause)
         for viewing, number in held:
-            self.host.ended(self.clock(), viewing, number, Ending.BROKEN)
+            self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
     def tend(self) -> None:
         """Once in a short while: are the streamers that play for us still there?"""
         now = self.clock()
-        held = Counter(life.streamer for life in self.host.lives.values() if life.state is State.PLAYING)
+        held = Counter(
+            life.streamer for life in self.host.viewings.values() if life.state is ViewingState.PLAYING
+        )
         tuned = {name for name, _ in self.attempts}
         for upstream in list(self.upstreams.values()):
             upstream.evict(now, self.room(), self.idle)
@@ -292,13 +304,13 @@
                 for line in list(upstream.lines):
                     line.close()
                 del self.upstreams[upstream.name]
-            upstream.pulse.spoke(now)
+            upstream.liveness.on_data(now)
             upstream.told_silent = False
         self.given_up = {key: until for key, until in self.given_up.items() if until > now}
         self.released = {key: end for key, end in self.released.items() if end[1] > now}
         for ref in [ref for ref, (_, at) in self.probes.items() if now - at > 0.5]:
             streamer, at = self.probes.pop(ref)
-            self.host.probed(now, streamer, Ending.TIMED_OUT, now - at, None)
+            self.host.probed(now, streamer, EndReason.TIMED_OUT, now - at, None)
 
     def _test_upstream(self, upstream: Upstream, now: float) -> None:
         if not upstream.lines and upstream.gone:
@@ -306,17 +318,17 @@
             self._gone(upstream, "gone")
         elif not upstream.lines:
             self._need(upstream)
-        elif upstream.pulse.test(now):
+        elif upstream.liveness.is_test_due(now):
             self._say(upstream, messages.hb(self._test()))
-        word = upstream.pulse.word(now)
-        if word is Word.LOST:
-            held = self.host.held(upstream.name)
+        word = upstream.liveness.check(now)
+        if word is Liveness.LOST:
+            held = self.host.playing_at(upstream.name)
             self._gone(upstream, "silent")
             # If it lives after all, only cut off from here, it is to let go of what nobody here knows.
             for viewing, _ in held:
                 self._release(upstream, viewing)
-            upstream.pulse.spoke(now)
-        elif word is Word.SILENT and not upstream.told_silent:
+            upstream.liveness.on_data(now)
+        elif word is Liveness.SILENT and not upstream.told_silent:
             upstream.told_silent = True
             self.host.share_told(now, upstream.name, 0.0)
 
@@ -328,7 +340,7 @@
             m = messages.read(data)
             now = self.clock()
             line.spoke, line.doubted = now, line.doubted if line.half_closed else None
-            upstream.pulse.spoke(now)
+            upstream.liveness.on_data(now)
             upstream.told_silent = False
             if m.t in ("down", "ack"):
                 upstream.unheard.pop(m.ref, None)
@@ -341,7 +353,7 @@
                     self._note(upstream, m)
                 case "hb_ok":
                     if probe := self.probes.pop(m.ref, None):
-                        how = Ending.PLAYED if m.c else Ending.FAULTY
+                        how = EndReason.PLAYED if m.c else EndReason.FAULTY
                         self.host.probed(now, probe[0], how, now - probe[1], messages.load(m))
                 case "wait" | "ack":
                     pass
@@ -374,17 +386,17 @@
         if (attempt := self.attempts.get(key)) is not None:
             if attempt.line is line:
                 del self.attempts[key], line.attempts[m.ref]
-                how = messages.BEFORE.get(m.c, Ending.BROKEN)
+                how = messages.BEFORE.get(m.c, EndReason.BROKEN)
                 self.host.ended(self.clock(), m.ref, attempt.number, how, load)
             return
-        life, how = self.host.lives.get(m.ref), messages.AFTER.get(m.c, Ending.BROKEN)
+        life, how = self.host.viewings.get(m.ref), messages.AFTER.get(m.c, EndReason.BROKEN)
         if life is None or life.streamer != upstream.name:
             if key not in self.given_up:
                 self.released[key] = how, self.clock() + messages.OWED
-        elif life.state is State.PLAYING:
+        elif life.state is ViewingState.PLAYING:
             self.host.ended(self.clock(), m.ref, life.number, how, load)
             line.send(messages.ack(m.ref))
-        elif life.state is State.CLOSING:
+        elif life.state is ViewingState.CLOSING:
             self.host.torn_down(self.clock(), m.ref, life.number)
 
     def _note(self, upstream: Upstream, m: Message) -> None:
--- a/herongap/node/upstream.py
+++ b/herongap/node/upstream.py
@@ -6,8 +6,8 @@
 from gevent import socket
 from gevent.event import Event
 
-from herongap.host.pulse import Pulse
-from herongap.interface import Asked, Ending, Load
+from herongap.host.liveness import StreamerLiveness
+from herongap.interface import EndReason, LoadReport, ViewingRequest
 from herongap.limiter import SHUT, evictions
 from herongap.node.connection import Connection
 
@@ -29,9 +29,9 @@
     return sock
 
 
-def unreached(fault: OSError) -> tuple[Ending, Load | None]:
+def unreached(fault: OSError) -> tuple[EndReason, LoadReport | None]:
     """How a tune-in ends whose connection did not come up: of our own shortage its streamer knows nothing."""
-    return (Ending.FULL, Load()) if fault.errno in OURS else (Ending.UNREACHED, None)
+    return (EndReason.FULL, LoadReport()) if fault.errno in OURS else (EndReason.UNREACHED, None)
 
 
 class Attempt:
@@ -39,7 +39,7 @@
 
     __slots__ = ("ask", "number", "rung", "until", "line", "sent")
 
-    def __init__(self, ask: Asked, number: int, rung: int, until: float):
+    def __init__(self, ask: ViewingRequest, number: int, rung: int, until: float):
         self.ask, self.number, self.rung, self.until, self.line = ask, number, rung, until, None
         self.sent = b""
 
@@ -58,8 +58,8 @@
 class Upstream:
     """One streamer as its sockets show it."""
 
-    def __init__(self, name: str, address: Address, pulse: Pulse):
-        self.name, self.address, self.pulse = name, address, pulse
+    def __init__(self, name: str, address: Address, liveness: StreamerLiveness):
+        self.name, self.address, self.liveness = name, address, liveness
         self.lines: set[Line] = set()
         # For the next that opens: a message, until when, and the viewing that it releases, or "". Of those
         # that went out, by what they release: on which connection, unless it was answered.
@@ -124,7 +124,7 @@
     def refused(self, now: float) -> bool:
         """It refused a connection; whether its process is gone."""
         self.shut = now + SHUT
-        return self.pulse.refused(self.reset, any(line.stands() for line in self.lines))
+        return self.liveness.is_gone_after_refusal(self.reset, any(line.stands() for line in self.lines))
 
     def evict(self, now: float, room: bool, idle: float) -> None:
         """Let go of connections that are not needed, or may be dead."""
--- a/herongap/node/viewers.py
+++ b/herongap/node/viewers.py
@@ -7,7 +7,7 @@
 import structlog
 
 from herongap.host import Answer, Host
-from herongap.interface import Ending
+from herongap.interface import EndReason
 from herongap.limiter import DOUBT, ConnectionLimiter
 from herongap.node.connection import Connection
 from herongap.platform import messages
@@ -187,10 +187,10 @@
         now = self.clock()
         self.limiter.took(conn)
         self.sessions[m.ref] = Session(conn, m.d)
-        self.host.asked(now, ask._replace(left=max(0.0, ask.left - messages.AHEAD)))
+        self.host.asked(now, ask._replace(time_left=max(0.0, ask.time_left - messages.AHEAD)))
 
     def _handed(self, conn: Connection, m: Message, ask, at: str) -> None:
-        if m.ref in self.sessions or m.ref in self.host.lives:
+        if m.ref in self.sessions or m.ref in self.host.viewings:
             return
         self._sound(conn)
         session = self.sessions[m.ref] = Session(conn, "")
@@ -200,7 +200,7 @@
         floor = next(p.floor for p in self.launch.charter.packages if p.name == ask.package)
         # One that has left is known to the module for a while yet, and nobody would hear of its end.
         if at not in self.host.port.upstreams or not self.host.adopted(self.clock(), ask, 0, at, floor):
-            self.over(m.ref, Ending.BROKEN)
+            self.over(m.ref, EndReason.BROKEN)
         elif self.ended.pop(m.ref, None):
             # Its viewer has ended it, on another connection: that came first.
             session.mine = True
@@ -283,10 +283,10 @@
             session.mine = True
             self._release(ref, session, messages.shift(ref))
 
-    def over(self, ref: str, how: Ending) -> None:
+    def over(self, ref: str, how: EndReason) -> None:
         session = self.sessions.pop(ref, None)
-        if session and not session.mine and how is not Ending.CALLED_OFF:
-            cause = messages.ENDED if how is Ending.PLAYED else messages.CUT
+        if session and not session.mine and how is not EndReason.CALLED_OFF:
+            cause = messages.ENDED if how is EndReason.PLAYED else messages.CUT
             self._release(ref, session, messages.down(ref, cause))
 
     def _release(self, ref: str, session: Session, message: bytes) -> None:
--- a/herongap/observe/metrics.py
+++ b/herongap/observe/metrics.py
@@ -43,12 +43,12 @@
             refused.add_metric([cause], count)
         yield refused
         held = GaugeMetricFamily("herongap_held", "Viewings held now, by state", labels=["state"])
-        for state, count in sorted(Counter(life.state.value for life in self.host.lives.values()).items()):
+        for state, count in sorted(Counter(life.state.value for life in self.host.viewings.values()).items()):
             held.add_metric([state], count)
         yield held
         yield GaugeMetricFamily("herongap_connections", "Connections of clients", value=self.intake.total)
         yield GaugeMetricFamily("herongap_lag_seconds", "How late the process is", value=self.intake.behind)
-        listed = Counter(standing.name.lower() for standing in self.host.standing.values())
+        listed = Counter(standing.name.lower() for standing in self.host.statuses.values())
         streamers = GaugeMetricFamily(
             "herongap_streamers", "Streamers listed, by standing", labels=["standing"]
         )
--- a/herongap/orca.py
+++ b/herongap/orca.py
@@ -8,12 +8,12 @@
 import json
 import math
 
-from herongap.interface import Load
+from herongap.interface import LoadReport
 
 HEADER = "endpoint-load-metrics"
 
 
-def read_load(value: str | None) -> Load | None:
+def read_load(value: str | None) -> LoadReport | None:
     """The load in a header's value; None where there is none, or none that can be read."""
     if not value:
         return None
@@ -27,10 +27,10 @@
         capped = _ratio(report.get("application_utilization")) if link is None else None
     except (ValueError, AttributeError):
         return None
-    return None if link is rack is capped is None else Load(link, capped, rack)
+    return None if link is rack is capped is None else LoadReport(link, capped, rack)
 
 
-def write_load(load: Load) -> str:
+def write_load(load: LoadReport) -> str:
     """A header's value."""
     named = {
         name: round(value, 4)
--- a/herongap/platform/charter.py
+++ b/herongap/platform/charter.py
@@ -1,22 +1,22 @@
 """A deployment's settings, as the simulator and the platform both state them, in our types and units."""
 
-from herongap.interface import Charter, Group, Package, Repeat
+from herongap.interface import DeploymentConfig, Package, RepeatSafety, RepeatScope
 
-REPEATS = {"pure": Repeat.HARMLESS, "token": Repeat.IN_GROUP, "side_effect": Repeat.HARMFUL}
+REPEATS = {"pure": RepeatSafety.HARMLESS, "token": RepeatSafety.IN_GROUP, "side_effect": RepeatSafety.HARMFUL}
 GROUPS = {
-    "all": Group.ALL,
-    "zone": Group.ZONE,
-    "same zone": Group.ZONE,
-    "cell": Group.CELL,
-    "same cell": Group.CELL,
+    "all": RepeatScope.ALL,
+    "zone": RepeatScope.ZONE,
+    "same zone": RepeatScope.ZONE,
+    "cell": RepeatScope.CELL,
+    "same cell": RepeatScope.CELL,
 }
 
 
-def charter(conf: dict) -> Charter:
+def charter(conf: dict) -> DeploymentConfig:
     """The settings of one instance; keys not named here are passed over."""
     info, allowed, rules = conf["FamilyInfo"], conf["Allowed"], conf["Invariants"]
     free = rules.get("MinExtra")
-    return Charter(
+    return DeploymentConfig(
         me=int(conf["Me"]),
         zone=conf.get("Locality", ""),
         controllers=int(conf["FleetSize"]),
--- a/herongap/platform/launch.py
+++ b/herongap/platform/launch.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 from herongap.errors import Unusable
-from herongap.interface import Charter
+from herongap.interface import DeploymentConfig
 from herongap.platform.charter import charter
 from herongap.platform.messages import Terms
 from herongap.platform.roster import Roster, read_known
@@ -26,7 +26,7 @@
     listen: Address
     resolver: Address
     seed: int
-    charter: Charter
+    charter: DeploymentConfig
     terms: Terms
     racks: int
     sockets: int
--- a/herongap/platform/messages.py
+++ b/herongap/platform/messages.py
@@ -11,15 +11,15 @@
 import msgspec
 
 from herongap.errors import Unusable
-from herongap.interface import Asked, Ending, Load
+from herongap.interface import EndReason, LoadReport, ViewingRequest
 
 Number = int | float
 NAMES = re.compile(r"[0-9a-f]{16}")
 # Causes that a controller sends: refused, so that trying again is harmless; failed; ended; cut.
 REFUSED, BUSY, FAILED, ENDED, CUT = 34, 42, 47, 16, 41
 # What a streamer's release means before its answer, and after it; another cause counts as a reset.
-BEFORE = {34: Ending.FULL, 47: Ending.FAULTY, 102: Ending.NOT_SENT}
-AFTER = {16: Ending.PLAYED, 31: Ending.CALLED_OFF}
+BEFORE = {34: EndReason.FULL, 47: EndReason.FAULTY, 102: EndReason.NOT_SENT}
+AFTER = {16: EndReason.PLAYED, 31: EndReason.CALLED_OFF}
 NOTES = ("served", "at_rung", "link_use", "rack_use")
 AHEAD = 0.06  # seconds by which an answer leaves before its viewer stops waiting
 OWED = 8.0  # seconds for which a release is worth telling
@@ -100,7 +100,7 @@
     top: int
 
 
-def asked(m: Message, terms: Terms) -> tuple[Asked, str | None]:
+def asked(m: Message, terms: Terms) -> tuple[ViewingRequest, str | None]:
     """The request of a set-up, and the streamer at which it plays already or None; raises Unfit."""
     package, member, title = m.text("class"), m.text("tenant"), m.text("key")
     if package not in terms.packages:
@@ -118,7 +118,7 @@
         raise Unfit(f"length out of range: {hint}")
     home = _whole(extras, "home", 0, 1 << 31)
     copies = _whole(extras, "copies", 1, terms.cells)
-    ask = Asked(
+    ask = ViewingRequest(
         viewing=m.ref,
         viewer=extras.get("viewer", m.ref),
         package=package,
@@ -126,10 +126,10 @@
         title=title,
         holders=frozenset((home + i) % terms.cells for i in range(copies)),
         top=_whole(extras, "top", 0, terms.top),
-        left=left / 1000,
+        time_left=left / 1000,
         length=None if hint is None else hint / 1000,
         moved=extras.get("moved") == "1",
-        again=extras.get("again") == "1",
+        is_retry=extras.get("again") == "1",
     )
     return ask, extras.get("at")
 
@@ -141,7 +141,7 @@
     return int(text)
 
 
-def load(m: Message) -> Load | None:
+def load(m: Message) -> LoadReport | None:
     """A streamer's report of its load, or None; raises Unfit."""
     text = m.text("load")
     if not text:
@@ -156,7 +156,7 @@
             raise Unfit(f"{name} out of range: {found}")
         return found
 
-    return Load(ratio("x0"), ratio("util"), ratio("x1"))
+    return LoadReport(ratio("x0"), ratio("util"), ratio("x1"))
 
 
 def note(m: Message) -> tuple[str, float]:
@@ -171,7 +171,7 @@
     return _encode({"t": t, "ref": ref, "f": f, **more}) + b"\n"
 
 
-def set_up(ask: Asked, rung: int, left: float, description: str) -> bytes:
+def set_up(ask: ViewingRequest, rung: int, left: float, description: str) -> bytes:
     """A tune-in; `left` is what its streamer may take, in seconds."""
     f = {"class": ask.package, "key": ask.title, "left": str(max(1, int(left * 1000))), "rung": str(rung)}
     return _line("new", ask.viewing, f, d=description)
--- a/herongap/platform/roster.py
+++ b/herongap/platform/roster.py
@@ -13,11 +13,11 @@
 import dns.rdatatype
 
 from herongap.errors import Unusable
-from herongap.interface import Listed, Standing
+from herongap.interface import StreamerEntry, StreamerStatus
 
 Address = tuple[str, int]
 SERVICE = dns.name.from_text("_work._tcp.fleet.local.")
-STATES = {"Ready": Standing.ACTIVE, "Terminating": Standing.LEAVING, "Gone": Standing.LEFT}
+STATES = {"Ready": StreamerStatus.ACTIVE, "Terminating": StreamerStatus.LEAVING, "Gone": StreamerStatus.LEFT}
 
 
 class Doubtful(Unusable):
@@ -30,19 +30,21 @@
     """The streamers as of an event: their lines, where each listens, and the number of the event."""
 
     serial: int
-    lines: dict[str, Listed]
+    lines: dict[str, StreamerEntry]
     addresses: dict[str, Address]
 
 
-def _line(name: str, zone: str, kind: str, cell: int, racks: int, standing, weight, started_ms) -> Listed:
+def _line(
+    name: str, zone: str, kind: str, cell: int, racks: int, standing, weight, started_ms
+) -> StreamerEntry:
     # A cell's streamers hold the same titles, and its rack is the cell mod `racks`.
     started = started_ms / 1000 if started_ms else None
-    return Listed(name, zone, kind, cell, cell, cell % racks, standing, weight, started)
+    return StreamerEntry(name, zone, kind, cell, cell, cell % racks, standing, weight, started)
 
 
 def read_known(known: dict, racks: int) -> Roster:
     """The list that the configuration's events add up to; raises KeyError, TypeError or ValueError."""
-    lines: dict[str, Listed] = {}
+    lines: dict[str, StreamerEntry] = {}
     addresses: dict[str, Address] = {}
     for event in known["cmds"]:
         nodes = event["nodes"]
@@ -50,7 +52,7 @@
             lines, addresses = {}, {}
         for s in nodes["servers"]:
             name, standing = s["id"], STATES[s["state"]]
-            if standing is Standing.LEFT:
+            if standing is StreamerStatus.LEFT:
                 lines.pop(name, None)
                 addresses.pop(name, None)
                 continue
@@ -102,7 +104,7 @@
             name, zone = (label.decode() for label in r.target.labels[:2])
             text = texts[r.target]
             addresses[name] = hosts[r.target], r.port
-            standing = Standing.LEAVING if r.priority else Standing.ACTIVE
+            standing = StreamerStatus.LEAVING if r.priority else StreamerStatus.ACTIVE
             lines[name] = _line(
                 name, zone, text["kind"], int(text["cell"]), racks, standing, r.weight / 10,
                 int(text.get("started") or 0),
--- a/herongap/rules/limits.py
+++ b/herongap/rules/admission.py
@@ -3,16 +3,16 @@
 from collections import deque
 from math import exp
 
-from herongap.interface import Charter, Counted, Group, Repeat
+from herongap.interface import BudgetScope, DeploymentConfig, RepeatSafety, RepeatScope
 
-from .known import Known, Streamer, Viewing
+from .state import ControllerState, Streamer, Viewing
 
 FLOOD, LEAST = 4.0, 5.0  # a member floods at so many times its usual rate and so many viewings a second more
 
 
-class Limits:
-    def __init__(self, known: Known, now: float, c: Charter):
-        self.known = known
+class Admission:
+    def __init__(self, known: ControllerState, now: float, c: DeploymentConfig):
+        self.state = known
         self.extra = c.extra_free is not None and (c.extra_free, c.extra_share, c.extra_window)
         self.taken, self.extras = deque(), deque()
         self.begun, self.shares, self.rates = now, c.over_share < 0.5, {}
@@ -44,28 +44,28 @@
                 past.popleft()
         return len(self.extras) + 1 <= free + share * len(self.taken)
 
-    def repeats_at(self, now: float, vw: Viewing, st: Streamer) -> bool:
+    def may_repeat_at(self, now: float, vw: Viewing, st: Streamer) -> bool:
         """Whether the package's terms let this viewing be set up at this streamer after what may have run."""
         p = vw.package
-        if not vw.ran or p.repeat is Repeat.HARMLESS:
+        if not vw.ran or p.repeat is RepeatSafety.HARMLESS:
             return True
-        return p.repeat is Repeat.IN_GROUP and all(
+        return p.repeat is RepeatSafety.IN_GROUP and all(
             now - sent < p.window
             and (
-                p.group is Group.ALL
-                or (zone == st.line.zone and (p.group is Group.ZONE or cell == st.line.cell))
+                p.group is RepeatScope.ALL
+                or (zone == st.entry.zone and (p.group is RepeatScope.ZONE or cell == st.entry.cell))
             )
             for zone, cell, sent in vw.ran
         )
 
     def counting(self, vw: Viewing, cold: bool) -> list[str]:
         """The wholes for which a viewing's next tune-in counts."""
-        ask, more = vw.ask, [Counted.FURTHER] * bool(vw.tries) + [Counted.COLD] * cold
-        sorts = {Counted.VIEWINGS, Counted.TUNE_INS, *more}
+        ask, more = vw.ask, [BudgetScope.FURTHER] * bool(vw.tries) + [BudgetScope.COLD] * cold
+        sorts = {BudgetScope.VIEWINGS, BudgetScope.TUNE_INS, *more}
         return [
             w.name
             for w in self.wholes
-            if w.counted in sorts
+            if w.scope in sorts
             and w.package in (None, ask.package)
             and w.member in (None, ask.member)
             and w.title in (None, ask.title)
@@ -75,7 +75,7 @@
         """Whether every whole that it counts for has room here; of one that has none more is wanted."""
         short = {name for name in self.counting(vw, cold) if self.left_of[name] < 1} if self.wholes else set()
         # Asked for while the viewing waits, not when it is blocked: others may have some to give by then.
-        self.known.answers += [("short", name) for name in sorted(short - vw.short)]
+        self.state.decisions += [("short", name) for name in sorted(short - vw.short)]
         vw.short |= short
         return not short
 
@@ -83,16 +83,16 @@
         if self.wholes:
             vw.charged = tuple(names)
             self.left_of.update((name, self.left_of[name] - 1) for name in names)
-            self.known.answers.append(("charge", vw.id, vw.charged))
+            self.state.decisions.append(("charge", vw.id, vw.charged))
 
     def handed(self, vw: Viewing) -> None:
-        begun = {w.name for w in self.wholes if w.counted is not Counted.VIEWINGS}
+        begun = {w.name for w in self.wholes if w.scope is not BudgetScope.VIEWINGS}
         self.charge(vw, [name for name in self.counting(vw, False) if name not in begun])
 
     def given(self, whole: str, room: int) -> None:
         self.left_of[whole] = room
-        held = [vw for vw in self.known.viewings.values() if room < 0 and whole in vw.charged and vw.playing]
+        held = [vw for vw in self.state.viewings.values() if room < 0 and whole in vw.charged and vw.playing]
         stay = sorted((vw for vw in held if not vw.done), key=lambda vw: vw.package.gain[0])
         for vw in stay[: max(0, len(stay) - len(held) - room)]:
             vw.done = True
-            self.known.answers.append(("move", vw.id))
+            self.state.decisions.append(("move", vw.id))
--- a/herongap/rules/playing.py
+++ b/herongap/rules/rung_control.py
@@ -1,6 +1,6 @@
 """Cuts and raises: the rungs of what plays, by the going price of a kB a second."""
 
-from .known import Known, Streamer, Terms, Viewing
+from .state import ControllerState, PackageProfile, Streamer, Viewing
 
 MARK = 0.95  # part of a link or uplink that set-ups and raises may fill
 AHEAD = 2.0  # a rung above the floor must fit so many times more, as far as others meet this one
@@ -8,23 +8,23 @@
 SETTLE, DWELL = 1.0, 6.0  # seconds: for a cut to show, beside the lateness of notes; from a step to a raise
 
 
-class Playing:
-    def __init__(self, known: Known):
-        self.known, self.price = known, 0.0
+class RungControl:
+    def __init__(self, known: ControllerState):
+        self.state, self.price = known, 0.0
 
     def tick(self, now: float) -> None:
         # Own viewings are a sample of all: what their last steps are worth, on the mean, is the price.
-        gains = [vw.package.gain[vw.rung] for vw in self.known.viewings.values() if vw.playing]
+        gains = [vw.package.gain[vw.rung] for vw in self.state.viewings.values() if vw.playing]
         self.price = sum(gains) / len(gains) if gains else 0.0
 
-    def room(self, p: Terms, rung: int) -> float:
+    def room(self, p: PackageProfile, rung: int) -> float:
         """How often a rung must fit again for what others may do: the cheaper its last step, the more."""
         # Others see the same room at once; what they send unheard goes by the viewings there, not by them.
         price = self.price / p.gain[rung] if self.price else 1.0
-        return AHEAD * (1 - 1 / max(1, self.known.controllers)) * price
+        return AHEAD * (1 - 1 / max(1, self.state.controllers)) * price
 
     def load_told(self, now: float, streamer: int, uplink: bool, viewing: int, ratio: float) -> None:
-        k = self.known
+        k = self.state
         st, vw = k.streamers[streamer], k.viewings.get(viewing)
         # The word at set-up is about now; later ones come as late as the settings say.
         if first := vw is not None and now - vw.stepped < 0.1:
@@ -33,25 +33,27 @@
         k.over.add(streamer)
 
     def raise_one(self, now: float, st: Streamer) -> None:
-        k = self.known
-        up = [vw for vw in st.held.values() if vw.playing and vw.rung < vw.top and now - vw.stepped >= DWELL]
+        k = self.state
+        up = [
+            vw for vw in st.viewings.values() if vw.playing and vw.rung < vw.top and now - vw.stepped >= DWELL
+        ]
         for vw in sorted(up, key=lambda vw: -vw.package.gain[vw.rung + 1])[:1]:
             # All others here hear the same word at the same time, and may all raise on it.
-            rates, use, own = vw.package.rates, k.use(now, st), st.link.own / st.link.size
+            rates, use, own = vw.package.rates, k.utilization(now, st), st.link.own / st.link.size
             for rung in range(vw.top, vw.rung, -1):
                 more = max(rates[rung] - rates[vw.rung], 1e-9) / st.link.size
                 part = (MARK - use) / (more + max(0.0, use - own) * (rates[rung] / rates[vw.rung] - 1))
                 if use + more * (1 + self.room(vw.package, rung)) <= MARK and (
-                    part >= 1 or (rung == vw.rung + 1 and k.chance() < part)
+                    part >= 1 or (rung == vw.rung + 1 and k.random_fraction() < part)
                 ):
                     self.step(now, vw, rung)
                     return
 
     def cut(self, now: float, st: Streamer) -> None:
         """Step down this controller's own part of what is asked too much, cheapest steps first."""
-        k = self.known
+        k = self.state
         for pipe in (st.link, st.rack):
-            use = pipe.use(now, k.usual)
+            use = pipe.utilization(now, k.usual_load)
             # Words about the time before the last cut would cut twice for one shortage.
             if use <= OVER or now - pipe.eased < k.late + SETTLE:
                 continue
@@ -68,7 +70,7 @@
                 # By chance if greater than due: single viewings of many controllers must not all step.
                 rates = vw.package.rates
                 due = (pipe.own - goal) * self.price / vw.package.gain[vw.rung]
-                if k.chance() * (rates[vw.rung] - rates[vw.rung - 1]) > due:
+                if k.random_fraction() * (rates[vw.rung] - rates[vw.rung - 1]) > due:
                     break
                 k.set_rung(now, vw, vw.rung - 1)
                 stepped[vw.id] = vw
@@ -76,6 +78,6 @@
                 self.step(now, vw, vw.rung)
 
     def step(self, now: float, vw: Viewing, rung: int) -> None:
-        self.known.set_rung(now, vw, rung)
+        self.state.set_rung(now, vw, rung)
         vw.stepped = now
-        self.known.answers.append(("rung", vw.id, rung))
+        self.state.decisions.append(("rung", vw.id, rung))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,13 +4,21 @@
 
 import gevent
 
-from herongap.interface import Asked, Charter, Group, Listed, Package, Repeat, Standing
+from herongap.interface import (
+    DeploymentConfig,
+    Package,
+    RepeatSafety,
+    RepeatScope,
+    StreamerEntry,
+    StreamerStatus,
+    ViewingRequest,
+)
 from herongap.rules import Controller
 
-NEWS = Package("news", 1.0, 1.0, Repeat.HARMLESS, Group.ALL, 5.0, 1.0, 0, 2, 0, False)
+NEWS = Package("news", 1.0, 1.0, RepeatSafety.HARMLESS, RepeatScope.ALL, 5.0, 1.0, 0, 2, 0, False)
 
 
-def charter(**changes) -> Charter:
+def deployment_config(**changes) -> DeploymentConfig:
     base = dict(
         me=0,
         zone="a",
@@ -36,41 +44,45 @@
         extra_share=0.0,
         extra_window=0.0,
     )
-    return Charter(**(base | changes))
+    return DeploymentConfig(**(base | changes))
 
 
-def streamer(i: int, cell: int, standing=Standing.ACTIVE, started=None, zone="a", rack=None) -> Listed:
-    return Listed(i, zone, "std", cell, cell, cell % 2 if rack is None else rack, standing, 1.0, started)
+def streamer_entry(
+    i: int, cell: int, standing=StreamerStatus.ACTIVE, started=None, zone="a", rack=None
+) -> StreamerEntry:
+    return StreamerEntry(
+        i, zone, "std", cell, cell, cell % 2 if rack is None else rack, standing, 1.0, started
+    )
 
 
 def controller(
-    terms: Charter | None = None, now: float = 0.0, seed: int = 7, cells: int = 3, racks: int = 2
+    terms: DeploymentConfig | None = None, now: float = 0.0, seed: int = 7, cells: int = 3, racks: int = 2
 ) -> Controller:
-    terms = terms or charter()
+    terms = terms or deployment_config()
     c = Controller(now, seed, terms)
-    c.listed(now, "remembered", tuple(streamer(10 + i, i, rack=i % racks) for i in range(cells)))
+    c.listed(now, "remembered", tuple(streamer_entry(10 + i, i, rack=i % racks) for i in range(cells)))
     return c
 
 
-def ask(
+def viewing_request(
     i: int, top: int = 2, package: str = "news", title: int = 1, holders: int = 3, left: float = 4.0
-) -> Asked:
-    return Asked(i, i, package, None, title, range(holders), top, left, None, False, False)
+) -> ViewingRequest:
+    return ViewingRequest(i, i, package, None, title, range(holders), top, left, None, False, False)
 
 
-def pull(c: Controller, now: float) -> list[tuple]:
+def pull_decisions(c: Controller, now: float) -> list[tuple]:
     out = []
     while (decision := c.decide(now)) is not None:
         out.append(decision)
     return out
 
 
-def hear(c: Controller, since: float, until: float) -> None:
+def report_idle_links(c: Controller, since: float, until: float) -> None:
     """Word of an idle link from every streamer, each second: none of them can have started unnoticed."""
     for second in range(int(since), int(until)):
         for st in list(c.streamers):
             c.load_told(float(second), st, False, None, 0.0)
-        pull(c, float(second))
+        pull_decisions(c, float(second))
 
 
 def until(true, seconds: float = 8.0, look: float = 0.005) -> float:
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 from click.testing import CliRunner
-from helpers import ask, charter, controller, pull
+from helpers import controller, deployment_config, pull_decisions, viewing_request
 from loopback import INI
 from test_etcd import PREFIX, cluster
 from test_host import Port
@@ -27,7 +27,7 @@
 from herongap.fleet.figures import Outcome
 from herongap.host import Host
 from herongap.ini import Faults
-from herongap.interface import Counted, Ending, Load, Whole
+from herongap.interface import BudgetScope, EndReason, FleetBudget, LoadReport
 from herongap.rehearsal.relay import Relay
 
 ETCD = "[etcd]\nendpoints = 127.0.0.1:2379\n"
@@ -56,8 +56,8 @@
 def test_budgets_of_a_file_become_wholes_of_the_charter_and_terms_of_shares(tmp_path):
     made = site(tmp_path, divided_ini())
     assert made.charter.wholes == (
-        Whole("seats", Counted.VIEWINGS, "priority"),
-        Whole("further", Counted.FURTHER),
+        FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
+        FleetBudget("further", BudgetScope.FURTHER),
     )
     all_ = [terms(name, whole) for name, whole in made.wholes.items()]
     assert all_ == [
@@ -92,7 +92,7 @@
 
 
 def divided_among(*wholes, **rooms):
-    c = controller(charter(wholes=wholes))
+    c = controller(deployment_config(wholes=wholes))
     for name, room in rooms.items():
         c.given(0.0, name, room)
     return c
@@ -103,34 +103,34 @@
 
 
 def test_nothing_is_begun_before_a_part_is_known_and_more_is_asked_for_once_a_viewing():
-    c = divided_among(Whole("all", Counted.VIEWINGS))
-    c.asked(1.0, ask(1))
-    found = pull(c, 1.0)
+    c = divided_among(FleetBudget("all", BudgetScope.VIEWINGS))
+    c.asked(1.0, viewing_request(1))
+    found = pull_decisions(c, 1.0)
     assert verbs(found, "tune_in", "block") == [] and verbs(found, "short") == [("short", "all")]
     c.listed(1.05, "changes", ())
-    assert verbs(pull(c, 1.05), "short") == []
+    assert verbs(pull_decisions(c, 1.05), "short") == []
     c.given(1.1, "all", 1)
-    found = pull(c, 1.1)
+    found = pull_decisions(c, 1.1)
     assert [d[0] for d in verbs(found, "charge", "tune_in")] == ["charge", "tune_in"]
     assert verbs(found, "charge") == [("charge", 1, ("all",))]
     # The room is used up by the decision, before anybody has told so.
-    c.asked(1.1, ask(2))
-    assert verbs(pull(c, 1.1), "tune_in") == []
+    c.asked(1.1, viewing_request(2))
+    assert verbs(pull_decisions(c, 1.1), "tune_in") == []
     # It waits no longer than any that finds no room, and is told when to come again.
-    assert ("block", 2, 0.5) in pull(c, 1.6)
+    assert ("block", 2, 0.5) in pull_decisions(c, 1.6)
 
 
 def test_a_whole_counts_what_it_names_and_nothing_else():
     c = divided_among(
-        Whole("title", Counted.VIEWINGS, "news", title=7),
-        Whole("member", Counted.TUNE_INS, member="m"),
-        Whole("other", Counted.VIEWINGS, "sports"),
+        FleetBudget("title", BudgetScope.VIEWINGS, "news", title=7),
+        FleetBudget("member", BudgetScope.TUNE_INS, member="m"),
+        FleetBudget("other", BudgetScope.VIEWINGS, "sports"),
     )
-    c.asked(1.0, ask(1, title=1))
-    assert verbs(pull(c, 1.0), "charge") == [("charge", 1, ())]
-    c.asked(1.0, ask(2, title=7))
-    c.asked(1.0, ask(3)._replace(member="m"))
-    found = pull(c, 1.0)
+    c.asked(1.0, viewing_request(1, title=1))
+    assert verbs(pull_decisions(c, 1.0), "charge") == [("charge", 1, ())]
+    c.asked(1.0, viewing_request(2, title=7))
+    c.asked(1.0, viewing_request(3)._replace(member="m"))
+    found = pull_decisions(c, 1.0)
     assert verbs(found, "tune_in") == [] and set(verbs(found, "short")) == {
         ("short", "title"),
         ("short", "member"),
@@ -138,56 +138,56 @@
 
 
 def test_a_further_tune_in_counts_and_the_first_does_not():
-    c = divided_among(Whole("further", Counted.FURTHER), further=0)
-    c.asked(1.0, ask(1))
-    (_, _, streamer, time_out) = verbs(pull(c, 1.0), "tune_in")[0]
-    c.ended(1.2, 1, 0, streamer, Ending.FULL, 0.2, False, Load())
-    found = pull(c, 1.2)
+    c = divided_among(FleetBudget("further", BudgetScope.FURTHER), further=0)
+    c.asked(1.0, viewing_request(1))
+    (_, _, streamer, time_out) = verbs(pull_decisions(c, 1.0), "tune_in")[0]
+    c.ended(1.2, 1, 0, streamer, EndReason.FULL, 0.2, False, LoadReport())
+    found = pull_decisions(c, 1.2)
     assert verbs(found, "tune_in") == [] and verbs(found, "short") == [("short", "further")]
     c.given(1.25, "further", 1)
-    assert ("charge", 1, ("further",)) in pull(c, 1.25)
+    assert ("charge", 1, ("further",)) in pull_decisions(c, 1.25)
 
 
 def test_what_may_be_cold_counts_there_and_what_is_warm_does_not():
-    c = divided_among(Whole("cold", Counted.COLD), cold=0)
+    c = divided_among(FleetBudget("cold", BudgetScope.COLD), cold=0)
     for st in c.streamers.values():
         st.started = 0.0
-    c.asked(5.0, ask(1))
-    found = pull(c, 5.0)
+    c.asked(5.0, viewing_request(1))
+    found = pull_decisions(c, 5.0)
     assert verbs(found, "tune_in") == []
-    c.asked(11.0, ask(2))
-    assert verbs(pull(c, 11.0), "charge") == [("charge", 2, ())]
+    c.asked(11.0, viewing_request(2))
+    assert verbs(pull_decisions(c, 11.0), "charge") == [("charge", 2, ())]
 
 
 def test_what_must_end_is_the_cheapest_and_none_is_ended_twice():
-    c = divided_among(Whole("all", Counted.VIEWINGS), all=3)
+    c = divided_among(FleetBudget("all", BudgetScope.VIEWINGS), all=3)
     for i in range(3):
-        c.asked(1.0, ask(i))
-        (_, _, streamer, _) = verbs(pull(c, 1.0), "tune_in")[0]
+        c.asked(1.0, viewing_request(i))
+        (_, _, streamer, _) = verbs(pull_decisions(c, 1.0), "tune_in")[0]
         c.started(1.1, i, 0, streamer, 0.1)
-        pull(c, 1.1)
+        pull_decisions(c, 1.1)
     c.given(5.0, "all", -2)
-    moved = verbs(pull(c, 5.0), "move")
+    moved = verbs(pull_decisions(c, 5.0), "move")
     assert len(moved) == 2
     c.given(5.1, "all", -2)
-    assert verbs(pull(c, 5.1), "move") == []
+    assert verbs(pull_decisions(c, 5.1), "move") == []
     gone = moved[0][1]
     vw = c.viewings[gone]
-    c.ended(5.2, gone, 0, vw.streamer.line.streamer, Ending.PLAYED, 4.0, True, None)
+    c.ended(5.2, gone, 0, vw.streamer.entry.streamer, EndReason.PLAYED, 4.0, True, None)
     c.given(5.2, "all", -1)
-    assert verbs(pull(c, 5.2), "move") == [], "the other one is on its way out already"
+    assert verbs(pull_decisions(c, 5.2), "move") == [], "the other one is on its way out already"
 
 
 def test_a_host_keeps_what_a_tune_in_counts_for_and_moves_no_viewing_that_is_going():
     port = Port()
-    host = Host(0.0, 7, charter(wholes=(Whole("all", Counted.VIEWINGS),)), port)
-    host.listed(0.0, "whole", [st.line for st in controller().streamers.values()])
+    host = Host(0.0, 7, deployment_config(wholes=(FleetBudget("all", BudgetScope.VIEWINGS),)), port)
+    host.listed(0.0, "whole", [st.entry for st in controller().streamers.values()])
     host.given(0.0, "all", 1)
-    host.asked(1.0, ask(1))
-    assert host.lives[1].charged == ("all",)
+    host.asked(1.0, viewing_request(1))
+    assert host.viewings[1].charged_budgets == ("all",)
     _, _, number, streamer, _, _ = port.last("tune_in")
-    host.asked(1.0, ask(2))
-    assert ("short", "all") in port.effects
+    host.asked(1.0, viewing_request(2))
+    assert ("request_budget", "all") in port.effects
     host.started(1.1, 1, number, streamer, None)
     host.left(2.0, 1)
     host.given(2.1, "all", -1)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,7 +9,7 @@
 import random
 
 import pytest
-from helpers import NEWS, ask, charter, controller, pull, streamer
+from helpers import NEWS, controller, deployment_config, pull_decisions, streamer_entry, viewing_request
 
 CELLS, COLD, STEP, START = 36, 22, 0.01, 1000.5
 
@@ -22,14 +22,17 @@
     """
     draw = random.Random(seed)
     room = dict(places={"std": places}, warm_up=12.0, link_per_weight=1e7, rack_link=1e9, fall_within=within)
-    terms = [charter(me=me, controllers=controllers, packages=(NEWS._replace(join_target=join),), **room)
-             for me in range(controllers)]  # fmt: skip
-    lines = tuple(streamer(10 + i, i, started=START) for i in range(COLD))
+    packages = (NEWS._replace(join_target=join),)
+    terms = [
+        deployment_config(me=me, controllers=controllers, packages=packages, **room)
+        for me in range(controllers)
+    ]
+    lines = tuple(streamer_entry(10 + i, i, started=START) for i in range(COLD))
 
     def started(me, now):
         c = controller(terms[me], now=now, seed=draw.randrange(1 << 32), cells=CELLS, racks=9)
         for i in range(COLD, CELLS):
-            c.known.streamers[10 + i].since = -99.0
+            c.state.streamers[10 + i].reported_since = -99.0
             c.load_told(now, 10 + i, False, None, 1.1)
         return c
 
@@ -50,12 +53,12 @@
             if wants := draw.random() < pace * weights[me]:
                 first = int(CELLS * draw.random() ** 1.5)
                 holders = [(first + i) % CELLS for i in range(10)]
-                c.asked(at, ask(asked, top=0, title=asked)._replace(holders=holders))
+                c.asked(at, viewing_request(asked, top=0, title=asked)._replace(holders=holders))
                 asked += 1
             if not wants and at < wakes[me]:
                 continue
             c.woke(at)
-            for d in pull(c, at):
+            for d in pull_decisions(c, at):
                 if d[0] == "wake":
                     wakes[me] = d[1]
                 elif d[0] == "tune_in":
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -8,7 +8,7 @@
 from loopback import KIND, World
 
 from herongap.daemon.wire import Call
-from herongap.host import State
+from herongap.host import ViewingState
 from herongap.standins.player import Player
 
 DASH = """
@@ -55,7 +55,7 @@
         return next(st for st in self.streamers if st.address == m.streamer)
 
     def host_of(self, st):
-        return next(life for life in self.daemon.host.lives.values() if life.streamer == st.name)
+        return next(life for life in self.daemon.host.viewings.values() if life.streamer == st.name)
 
 
 @pytest.fixture
@@ -84,7 +84,7 @@
     assert [a.value.status for a in asked] == [200] * 4 and w.count("post") == 1
     assert len({a.value.header("content-location") for a in asked}) == 1
     gevent.joinall([gevent.spawn(p.refresh) for _ in range(4)])
-    assert w.count("post") == 1 and len(w.daemon.host.lives) == 1
+    assert w.count("post") == 1 and len(w.daemon.host.viewings) == 1
     other = w.player("q")
     assert other.join().status == 200 and w.count("post") == 2, "another session is another viewing"
 
@@ -97,7 +97,7 @@
     w.order("die", first.name)
     assert p.play(3.0) and p.moves == 1 and p.rungs
     assert w.at(p.manifest) is not first and w.playing() == 1
-    assert w.count("post") == 2 and len(w.daemon.host.lives) == 1
+    assert w.count("post") == 2 and len(w.daemon.host.viewings) == 1
 
 
 def test_a_cut_holds_at_the_streamer_and_reaches_the_player_by_its_manifest(world):
@@ -106,7 +106,7 @@
     p.join()
     old = p.manifest
     assert max(old.rates) == 2
-    viewing = next(iter(w.daemon.host.lives))
+    viewing = next(iter(w.daemon.host.viewings))
     w.daemon.host._act(w.daemon.clock(), "rung", viewing, 0)
     st = w.at(old)
     w.until(lambda: next(iter(st.sessions.values())).rung == 0)
@@ -153,7 +153,7 @@
     p = w.player()
     p.join()
     w.segment(p.manifest)
-    w.until(lambda: not w.daemon.host.lives, 4.0)
+    w.until(lambda: not w.daemon.host.viewings, 4.0)
     assert w.segment(p.manifest).status == 410
     p.refresh()
     assert w.segment(p.manifest).status == 200 and w.count("post") == 2
@@ -163,12 +163,12 @@
     w = world()
     p = w.player()
     p.join()
-    viewing = next(iter(w.daemon.host.lives))
+    viewing = next(iter(w.daemon.host.viewings))
     w.daemon.host.left(w.daemon.clock(), viewing)
-    assert w.daemon.host.lives[viewing].state is State.CLOSING
+    assert w.daemon.host.viewings[viewing].state is ViewingState.CLOSING
     assert p.refresh().status == 200 and w.segment(p.manifest).status == 200
     w.until(lambda: w.playing() == 1)
-    assert len(w.daemon.host.lives) == 1
+    assert len(w.daemon.host.viewings) == 1
 
 
 def test_both_fronts_claim_the_last_seats_at_one_moment_and_none_is_given_twice(world):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -18,7 +18,7 @@
 from plain_peers import SLOW, Door, Plain, all_busy, at_once, busy, handed, set_up
 
 import herongap.limiter
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 from herongap.node.connection import Connection
 from herongap.platform.lines import MOST
 
@@ -153,7 +153,7 @@
 def test_it_does_not_end_with_an_answer_in_its_own_buffer(world):
     w, streamer, client, ref = answer_behind(world)
     streamer.peers[0].say(t="down", ref=ref, c=16)
-    w.until(lambda: not w.node.host.lives)
+    w.until(lambda: not w.node.host.viewings)
     gevent.spawn(w.node.stop)
     gevent.sleep(1.2)
     assert not w.node.stopped.is_set(), "nothing plays and nobody waits, but an answer has not left"
@@ -197,7 +197,7 @@
     heard(w, one)
     handed(w, two, name, ref)
     w.until(lambda: streamer.heard("down", ref))
-    w.until(lambda: not w.node.host.lives and not w.node.viewers.sessions)
+    w.until(lambda: not w.node.host.viewings and not w.node.viewers.sessions)
     heard(w, two)
     assert not two.of("down") and not two.of("shift"), "it knows"
 
@@ -214,7 +214,7 @@
     w.until(lambda: client.of("down", first))
     handed(w, client, name, ref)
     w.until(lambda: client.of("down", ref), 1.0)
-    assert not w.node.host.lives and [m["c"] for m in client.of("down", ref)] == [41]
+    assert not w.node.host.viewings and [m["c"] for m in client.of("down", ref)] == [41]
 
 
 def test_the_same_set_up_again_after_its_connection_went_unread_is_served(world):
@@ -245,11 +245,11 @@
         peer = next(p for p in streamer.peers if p.of("new", ref))
         if first:
             at_once(peer, t="down", ref=ref, c=16)  # unread as the module moves it
-        w.node.host.module.known.answers.append(("move", ref))
+        w.node.host.module.state.decisions.append(("move", ref))
         w.node.host.woke(w.node.clock())
         if not first:
             at_once(peer, t="down", ref=ref, c=16)
-        w.until(lambda: ref not in w.node.host.lives and ref not in w.node.viewers.sessions)  # noqa: B023
+        w.until(lambda: ref not in w.node.host.viewings and ref not in w.node.viewers.sessions)  # noqa: B023
         heard(w, client, f"b{first}")
         assert len(client.of("shift", ref)) + len(client.of("down", ref)) == 1
 
@@ -286,7 +286,7 @@
     client = Plain(w.address)
     ref = w.ask(client)
     w.until(lambda: client.of("up", ref))
-    assert ref in w.node.host.lives and not client.of("down", ref)
+    assert ref in w.node.host.viewings and not client.of("down", ref)
 
 
 def test_a_streamer_that_takes_no_more_connections_keeps_what_it_plays(world):
@@ -303,7 +303,7 @@
     w.node.port._need(upstream)  # something is to be told there
     w.until(lambda: not upstream.connecting)
     heard(w, client)
-    assert not client.of("down") and ref in w.node.host.lives
+    assert not client.of("down") and ref in w.node.host.viewings
 
 
 def test_a_dial_that_crosses_a_change_of_address_sends_nothing_to_whoever_listens_there(world):
@@ -353,7 +353,7 @@
     held, client = [], Plain(w.address)
     streamer.does = busy(held)
     w.node.host.load_told(w.node.clock(), name, False, None, 0.0)
-    w.node.host.module.streamers[name].since = -1e9  # known for long: set-ups go as they come
+    w.node.host.module.streamers[name].reported_since = -1e9  # known for long: set-ups go as they come
     refs = {w.ask(client) for _ in range(9)}  # at once: four connections are dialled, as many as there may be
     w.until(lambda: len(held) == 9)
     assert {m["ref"] for _, m in held} == refs and len(w.node.port.lines()) == 4
@@ -372,7 +372,7 @@
                 spare.append(os.dup(0))
         w.draining.add("s-00000000")
         w.resolver.serial += 1
-        w.until(lambda: w.node.host.standing["s-00000000"] is Standing.LEAVING, 1.5)
+        w.until(lambda: w.node.host.statuses["s-00000000"] is StreamerStatus.LEAVING, 1.5)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         for number in spare:
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -28,7 +28,7 @@
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
 from herongap.ini.parts import Etcd as Terms
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 from herongap.standins.etcd import Etcd, History, fill, put
 
 PREFIX = "/herongap/"
@@ -187,9 +187,9 @@
         until(lambda: w.feed.follower.counts["watches"] > 1)
         w.feed.listed = good
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is Standing.LEAVING and w.feed.state == "following")
-        told = {line.streamer: line.standing for _, lines, _ in w.told for line in lines}
-        assert told["s0"] is Standing.LEAVING and told["s1"] is Standing.LEAVING
+        until(lambda: w.standing("s1") is StreamerStatus.LEAVING and w.feed.state == "following")
+        told = {line.streamer: line.status for _, lines, _ in w.told for line in lines}
+        assert told["s0"] is StreamerStatus.LEAVING and told["s1"] is StreamerStatus.LEAVING
         w.close()
 
 
@@ -252,17 +252,19 @@
     d.take(3.0, [Change(good.key, worse.new, Item(streamer(zone="y"), 1, 3))])
     assert d.line("a").zone == "y" and good.key not in d.bad
     d.take(4.0, [Change(good.key, None, Item(b"[]", 9, 9))])
-    assert d.line("a").standing is Standing.LEFT, "a bad value of a new process says nothing of the old one"
+    assert d.line("a").status is StreamerStatus.LEFT, (
+        "a bad value of a new process says nothing of the old one"
+    )
 
 
 def test_a_drain_counts_whatever_its_value_and_outlives_a_new_put():
     d = Directory(PREFIX, 0.0)
     d.take(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
-    assert d.line("a").standing is Standing.LEAVING and PREFIX + "drains/a" in d.bad
+    assert d.line("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in d.bad
     d.take(2.0, [change("streamers/a", streamer(zone="n"), old=Item(streamer(), 1, 1), mod=2)])
-    assert d.line("a").standing is Standing.LEAVING
+    assert d.line("a").status is StreamerStatus.LEAVING
     d.take(3.0, [change("drains/a", None, old=Item(b"garbage", 1, 1))])
-    assert d.line("a").standing is Standing.ACTIVE
+    assert d.line("a").status is StreamerStatus.ACTIVE
 
 
 def test_who_came_while_it_was_watched_or_was_replaced_is_cold():
@@ -329,7 +331,7 @@
 
     def standing(self, name):
         d = self.feed.directory
-        return d.line(name).standing if name in d.streamers else None
+        return d.line(name).status if name in d.streamers else None
 
     def close(self):
         gevent.killall(self.running)
@@ -356,7 +358,7 @@
         until(lambda: w.feed.state == "following")
         assert w.told[0][0] == "whole" and len(w.told[0][1]) == 3
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is Standing.LEAVING, 0.25)
+        until(lambda: w.standing("s1") is StreamerStatus.LEAVING, 0.25)
         until(lambda: w.places and w.places[-1] == (0, 1))
         assert w.feed.told()["controllers"] == {"0": "h-0"}
         w.close()
@@ -394,9 +396,9 @@
         etcd.history.delete(f"{PREFIX}streamers/s1".encode(), f"{PREFIX}drains/s1".encode())
         etcd.history.compact()
         until(lambda: w.feed.state == "lost")
-        assert w.standing("s0") is Standing.ACTIVE, "it cannot know yet"
+        assert w.standing("s0") is StreamerStatus.ACTIVE, "it cannot know yet"
         etcd.members[0].start()
-        until(lambda: w.standing("s0") is Standing.LEAVING)
+        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
         assert w.standing("s1") is None
         w.close()
 
@@ -423,7 +425,7 @@
         w = Watcher(etcd)
         until(lambda: w.feed.state == "following")
         drain(etcd, "s0")
-        until(lambda: w.standing("s0") is Standing.LEAVING)
+        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
         for member in etcd.members[:1]:
             member.stuck = 2
         etcd.members[1].cluster = 0xBAD
@@ -431,8 +433,8 @@
             etcd.cut()
             gevent.sleep(0.03)
         drain(etcd, "s2")
-        until(lambda: w.standing("s2") is Standing.LEAVING)
-        assert w.standing("s0") is Standing.LEAVING and w.feed.follower.cluster == etcd.history.cluster
+        until(lambda: w.standing("s2") is StreamerStatus.LEAVING)
+        assert w.standing("s0") is StreamerStatus.LEAVING and w.feed.follower.cluster == etcd.history.cluster
         w.close()
 
 
@@ -441,12 +443,12 @@
         w = Watcher(etcd, remembered=str(tmp_path / "list"))
         until(lambda: w.feed.state == "following")
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is Standing.LEAVING)
+        until(lambda: w.standing("s1") is StreamerStatus.LEAVING)
         w.close()
         etcd.members[0].stop()
         w = Watcher(etcd, remembered=str(tmp_path / "list"))
         assert w.feed.state == "remembered" and w.told[0][0] == "remembered"
-        assert w.standing("s1") is Standing.LEAVING and len(w.told[0][1]) == 3
+        assert w.standing("s1") is StreamerStatus.LEAVING and len(w.told[0][1]) == 3
         etcd.members[0].start()
         until(lambda: w.feed.state == "following")
         w.close()
@@ -480,7 +482,7 @@
         etcd.tokens.clear()
         etcd.cut()
         drain(etcd, "s0")
-        until(lambda: w.standing("s0") is Standing.LEAVING)
+        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
         w.close()
 
 
@@ -630,7 +632,7 @@
         file.write_text(file.read_text().replace("[front]", "[front]\nmetrics = 127.0.0.1:0"))
         daemon = Daemon(read_site(file))
         daemon.start()
-        until(lambda: daemon.feed.state == "following" and daemon.host.module.known.me == 0)
+        until(lambda: daemon.feed.state == "following" and daemon.host.module.state.rank == 0)
         told = json.loads(Pool(daemon.metrics.address, 1.0).call("GET", "/list", (), b"", 2.0).body)
         assert told["source"]["state"] == "following" and len(told["streamers"]) == 3
         assert told["source"]["place"] == [0, 1]
@@ -640,8 +642,8 @@
         etcd.members[0].stop()
         daemon = Daemon(read_site(file))
         daemon.start()
-        assert daemon.feed.state == "remembered" and len(daemon.host.standing) == 3
-        assert daemon.host.module.known.me is None, "nothing to cold streamers while others cannot be known"
+        assert daemon.feed.state == "remembered" and len(daemon.host.statuses) == 3
+        assert daemon.host.module.state.rank is None, "nothing to cold streamers while others cannot be known"
         daemon.kill()
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -12,7 +12,7 @@
 from herongap.daemon.run import Daemon
 from herongap.daemon.wire import Call
 from herongap.host import replay
-from herongap.host.life import State
+from herongap.host.viewing import ViewingState
 from herongap.http import kind_of
 from herongap.ini import read_site
 from herongap.sdp import offer
@@ -93,8 +93,8 @@
         w.until(lambda: w.playing() == 0)
         gevent.sleep(0.0)
         st = w.daemon.host.module.streamers["s0"]
-        st.back = -1e9  # each delay is a trial of its own
-    assert not w.daemon.host.lives
+        st.set_aside_until = -1e9  # each delay is a trial of its own
+    assert not w.daemon.host.viewings
 
 
 def test_a_repeated_offer_is_one_viewing(world):
@@ -132,15 +132,15 @@
     w.order("hang")
     v = w.viewer()
     assert v.post(2, hang_up=0.05).status == 0
-    w.until(lambda: w.count("hung-up") == w.count("post") > 0 and not w.daemon.host.lives)
+    w.until(lambda: w.count("hung-up") == w.count("post") > 0 and not w.daemon.host.viewings)
     w.order("heal")
     w.order("slow", by=0.1)
     for st in w.daemon.host.module.streamers.values():
-        st.back = -1e9
+        st.set_aside_until = -1e9
     v = w.viewer("v2")
     assert v.post(2, hang_up=0.05).status == 0
     w.until(lambda: w.playing() == 1)  # it started within the linger, with nobody there
-    w.until(lambda: w.playing() == 0 and not w.daemon.host.lives)  # and is taken down after it
+    w.until(lambda: w.playing() == 0 and not w.daemon.host.viewings)  # and is taken down after it
 
 
 def test_a_lost_answer_is_repeated_or_not_by_the_packages_terms(world):
@@ -159,7 +159,7 @@
     assert tried.status == 503 and tried.reply.header("retry-after")
     w.order("heal")
     for st in w.daemon.host.module.streamers.values():
-        st.back = -1e9
+        st.set_aside_until = -1e9
     w.order("die", "s0")
     v = w.viewer("b", "/whep/2")
     assert v.post(2).status == 503  # its one holder is gone
@@ -173,7 +173,7 @@
     w.until(lambda: w.daemon.port.followers)
     gevent.sleep(0.1)
     w.order("die")
-    w.until(lambda: not w.daemon.host.lives)
+    w.until(lambda: not w.daemon.host.viewings)
     assert v.delete() == 404
     w.order("start")
     w.lines["s0"]["started"] = time.time()
@@ -185,7 +185,7 @@
     w = world()
     assert w.viewer("a").post(2).status == 201
     w.relist(s0="leaving", s1="leaving")
-    w.until(lambda: w.daemon.host.standing["s1"].name == "LEAVING")
+    w.until(lambda: w.daemon.host.statuses["s1"].name == "LEAVING")
     before = w.count("post")
     assert [w.viewer(f"d{i}").post(2).status for i in range(6)] == [201] * 6
     assert {who for _, who, what, _ in w.saw if what == "post"} >= {"s2"}
@@ -196,7 +196,7 @@
     )
     good = (w.folder / "streamers.json").read_bytes()
     (w.folder / "streamers.json").write_text('{"streamers": []}')
-    w.until(lambda: not w.daemon.host.standing)
+    w.until(lambda: not w.daemon.host.statuses)
     assert w.viewer("e").post(2).status == 503
     (w.folder / "streamers.json").write_text('{"streamers": [{"id": "broken"')
     gevent.sleep(0.1)
@@ -343,7 +343,7 @@
     assert w.viewer("late").post(1).kind == "stopping"
     assert posting.get().status == 201
     stopping.get(timeout=4)
-    assert not w.daemon.host.lives and w.playing() == 0
+    assert not w.daemon.host.viewings and w.playing() == 0
     with pytest.raises(OSError):
         Call(w.daemon.address, 0.2)
 
@@ -368,12 +368,12 @@
     host = w.daemon.host
     w.until(
         lambda: (
-            sorted(host.module.viewings[v].rung for v in host.lives)
+            sorted(host.module.viewings[v].rung for v in host.viewings)
             == sorted(s.rung for s in w.streamers[0].sessions.values())
         )
     )
-    rung, playing = viewers[0].restart_ice(), [life.state for life in host.lives.values()]
-    assert rung.status == 200 and set(playing) == {State.PLAYING}
+    rung, playing = viewers[0].restart_ice(), [life.state for life in host.viewings.values()]
+    assert rung.status == 200 and set(playing) == {ViewingState.PLAYING}
 
 
 def test_the_library_alone_gives_what_the_daemon_gave(world):
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -42,8 +42,8 @@
 
 def next_tick(w):
     """The controller's periodic job has run since: what it reckons from what was heard stands."""
-    period = w.node.host.module.period
-    w.until(lambda: w.node.host.module.period > period)
+    period = w.node.host.module.next_tick_at
+    w.until(lambda: w.node.host.module.next_tick_at > period)
 
 
 @pytest.mark.parametrize("first", [True, False])
@@ -60,7 +60,7 @@
     at_once(held[0][0], t="down", ref=ref, c=34, f={"load": "x0:0.1;x1:0.1"})
     if not first:
         goes(client, ref, how)
-    w.until(lambda: ref not in w.node.host.lives)
+    w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
     assert news(w) == [ref]
 
@@ -126,7 +126,7 @@
     peer = door.take()  # 1 s or so; the controller is late all that time, and finds both at once
     if not first:
         goes(client, ref, how)
-    w.until(lambda: ref not in w.node.host.lives)
+    w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
     assert not peer.of("new")
     door.close()
@@ -140,19 +140,19 @@
     # It has just started, and turns at it come seldom.
     w.started[name] = int(time.time() * 1000)
     w.resolver.serial += 1
-    w.until(lambda: w.node.host.module.streamers[name].line.started)
+    w.until(lambda: w.node.host.module.streamers[name].entry.started)
     connected(w)
-    turns, st = w.node.host.module.turns, w.node.host.module.streamers[name]
-    begins = lambda: turns.next_turn(w.node.clock(), st) * turns.slot - w.node.clock()  # noqa: E731
-    w.until(lambda: begins() > 2 * turns.slot)
+    turns, st = w.node.host.module.slow_start, w.node.host.module.streamers[name]
+    begins = lambda: turns.next_slot(w.node.clock(), st) * turns.slot_seconds - w.node.clock()  # noqa: E731
+    w.until(lambda: begins() > 2 * turns.slot_seconds)
     client = Plain(w.address)
     ref = w.ask(client, left="30000")
-    w.until(lambda: ref in w.node.host.lives)
+    w.until(lambda: ref in w.node.host.viewings)
     assert begins() > 0 and not news(w), "it waits for its turn"
     goes(client, ref, how)
     # Late until within its turn.
-    time.sleep(begins() + 0.5 * turns.slot)
-    w.until(lambda: ref not in w.node.host.lives)
+    time.sleep(begins() + 0.5 * turns.slot_seconds)
+    w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
     assert not news(w)
 
@@ -175,7 +175,7 @@
     ref = w.ask(client, left="30000", d="x" * 15800)
     w.until(lambda: line.behind)
     goes(client, ref, how)
-    w.until(lambda: ref not in w.node.host.lives)
+    w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.1)
     # Only now its streamer reads on.
     w.until(lambda: peer.gone() or not line.behind)
@@ -198,7 +198,7 @@
     at_once(held[0][0], t="up", ref=ref, d="d")
     client.close()
     w.until(lambda: streamer.heard("down", ref))
-    assert not w.node.host.lives
+    assert not w.node.host.viewings
 
 
 def test_an_answer_that_its_client_never_got_whole_is_no_viewing(world):
@@ -215,4 +215,4 @@
     w.until(lambda: conn.behind)
     client.close()
     w.until(lambda: streamer.heard("down", ref))
-    w.until(lambda: not w.node.host.lives and not w.node.viewers.sessions)
+    w.until(lambda: not w.node.host.viewings and not w.node.viewers.sessions)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -3,12 +3,21 @@
 import random
 
 import pytest
-from helpers import NEWS, ask, charter, controller, streamer
+from helpers import NEWS, controller, deployment_config, streamer_entry, viewing_request
 
 from herongap.errors import Misuse
-from herongap.host import Again, Answer, Host, Recorder, Repeats, State, Torn, replay
+from herongap.host import (
+    Answer,
+    Host,
+    Recorder,
+    RecordError,
+    RepeatDetector,
+    RepeatMatch,
+    ViewingState,
+    replay,
+)
 from herongap.host.replay import explain
-from herongap.interface import Ending, Load, Repeat, Standing
+from herongap.interface import EndReason, LoadReport, RepeatSafety, StreamerStatus
 
 
 class Port:
@@ -33,9 +42,9 @@
 
 def hosted(record=None, **terms):
     port = Port()
-    terms = charter(extra_free=2.0, extra_share=0.1, extra_window=5.0, **terms)
+    terms = deployment_config(extra_free=2.0, extra_share=0.1, extra_window=5.0, **terms)
     host = Host(0.0, 7, terms, port, Recorder(record.append) if record is not None else None)
-    host.listed(0.0, "whole", tuple(streamer(10 + i, i) for i in range(3)))
+    host.listed(0.0, "whole", tuple(streamer_entry(10 + i, i) for i in range(3)))
     return host, port
 
 
@@ -47,7 +56,7 @@
 @pytest.mark.parametrize("offset, plays", [(-0.001, True), (0.0, False), (0.001, False)])
 def test_a_start_just_before_at_and_just_after_the_time_out(offset, plays):
     host, port = hosted()
-    host.asked(1.0, ask(1, left=0.4))
+    host.asked(1.0, viewing_request(1, left=0.4))
     viewing, number, st, time_out = sent(port)
     assert host.started(1.0 + time_out + offset, viewing, number, st, None) is plays
     if plays:
@@ -60,7 +69,7 @@
 
 def test_a_viewer_that_leaves_mid_set_up_is_called_off_and_a_late_start_torn_down():
     host, port = hosted()
-    host.asked(1.0, ask(1))
+    host.asked(1.0, viewing_request(1))
     viewing, number, st, _ = sent(port)
     host.left(1.1, 1)
     assert port.answers[1].verdict == "gone" and ("call_off", 1, number, st) in port.effects
@@ -71,31 +80,31 @@
 def test_what_was_decided_before_a_pause_does_not_leave_for_a_cold_streamer():
     host, port = hosted()
     host.counted(0.0, 0, 2)
-    lines = [st.line._replace(started=0.0) for st in host.module.streamers.values()]
+    lines = [st.entry._replace(started=0.0) for st in host.module.streamers.values()]
     host.listed(0.0, "changes", lines)
-    host.asked(1.0, ask(1))
+    host.asked(1.0, viewing_request(1))
     while not any(e[0] == "tune_in" for e in port.effects):
         host.woke(port.at)
     viewing, number, st, _ = sent(port)
-    at = host.lives[viewing].sent_at
+    at = host.viewings[viewing].sent_at
     assert host.sendable(viewing, number, at + 0.001)
     assert not host.sendable(viewing, number, at + 0.001, ranked=False), "others may have its turns by now"
-    round_ = host.module.turns.slot * 2
+    round_ = host.module.slow_start.slot_seconds * 2
     assert host.sendable(viewing, number, at + 0.9 * round_)
     assert not host.sendable(viewing, number, at + round_), "it would fall into its own next turn"
-    host.listed(at, "changes", [host.module.streamers[st].line._replace(started=-99.0)])
+    host.listed(at, "changes", [host.module.streamers[st].entry._replace(started=-99.0)])
     host.module.streamers[st].started = -99.0
     assert host.sendable(viewing, number, at + round_, ranked=False), "a warm one bears it"
 
 
 def test_a_drain_heard_between_decision_and_send():
     host, port = hosted()
-    host.asked(1.0, ask(1))
+    host.asked(1.0, viewing_request(1))
     viewing, number, st, _ = sent(port)
     assert host.sendable(1, number, 1.0)
-    host.listed(1.01, "changes", (streamer(st, st - 10, Standing.LEAVING),))
+    host.listed(1.01, "changes", (streamer_entry(st, st - 10, StreamerStatus.LEAVING),))
     assert not host.sendable(1, number, 1.01)
-    host.ended(1.01, 1, number, Ending.UNREACHED)
+    host.ended(1.01, 1, number, EndReason.UNREACHED)
     assert sent(port)[2] != st and host.sendable(1, number + 1, 1.01)
 
 
@@ -103,17 +112,17 @@
     from helpers import NEWS
 
     host, port = hosted(packages=(NEWS._replace(seats=1),))
-    host.asked(1.0, ask(1))
+    host.asked(1.0, viewing_request(1))
     viewing, number, st, _ = sent(port)
     host.started(1.1, 1, number, st, None)
     host.left(2.0, 1)
-    host.asked(2.1, ask(2))
+    host.asked(2.1, viewing_request(2))
     assert sent(port)[0] == 1, "the seat is still taken"
     host.torn_down(2.2, 1, number)
     assert sent(port)[0] == 2
     host.started(2.3, 2, 0, sent(port)[2], None)
     host.left(3.0, 2)
-    host.asked(4.99, ask(3, left=9.0))
+    host.asked(4.99, viewing_request(3, left=9.0))
     host.woke(5.01)  # its streamer never confirmed: it counts as gone after a while
     assert sent(port)[0] == 3
 
@@ -122,35 +131,35 @@
     record = []
     seats = NEWS._replace(seats=1)
     host, port = hosted(record, packages=(seats,))
-    assert host.adopted(1.0, ask(1), 2, 10, 1)
-    life = host.lives[1]
-    assert (life.state, life.number, life.streamer, life.rung) == (State.PLAYING, 2, 10, 1)
+    assert host.adopted(1.0, viewing_request(1), 2, 10, 1)
+    life = host.viewings[1]
+    assert (life.state, life.number, life.streamer, life.rung) == (ViewingState.PLAYING, 2, 10, 1)
     assert 1 not in port.answers, "its answer was given by the process before"
-    host.asked(1.1, ask(2, left=0.5))
+    host.asked(1.1, viewing_request(2, left=0.5))
     host.woke(1.7)
     assert port.answers[2].verdict == "blocked", "its seat is taken"
     host.load_told(2.0, 10, False, None, 0.05)
     host.load_told(9.0, 10, False, None, 0.05)
     assert ("set_rung", 1, 2, 10, 2) in port.effects, "it is raised as any other"
-    host.ended(9.5, 1, 2, Ending.PLAYED)
-    host.asked(9.6, ask(3))
+    host.ended(9.5, 1, 2, EndReason.PLAYED)
+    host.asked(9.6, viewing_request(3))
     assert port.last("tune_in")[1].viewing == 3 and host.counts["adopted"] == 1
-    assert not host.adopted(10.0, ask(4), 0, 99, 0)
-    assert ("tear_down", 4, 0, 99, False) in port.effects and 4 not in host.lives
+    assert not host.adopted(10.0, viewing_request(4), 0, 99, 0)
+    assert ("tear_down", 4, 0, 99, False) in port.effects and 4 not in host.viewings
     assert replay(record)[2] is None
     with pytest.raises(Misuse):
-        host.adopted(11.0, ask(3), 0, 10, 0)
+        host.adopted(11.0, viewing_request(3), 0, 10, 0)
 
 
 def test_a_list_that_shrinks_to_nothing_blocks_and_recovers():
     host, port = hosted()
     host.listed(1.0, "whole", ())
-    host.asked(1.1, ask(1))
+    host.asked(1.1, viewing_request(1))
     while 1 not in port.answers:
         host.woke(port.at)
     assert port.answers[1].verdict == "blocked"
-    host.listed(9.0, "whole", tuple(streamer(10 + i, i) for i in range(3)))
-    host.asked(9.1, ask(2))
+    host.listed(9.0, "whole", tuple(streamer_entry(10 + i, i) for i in range(3)))
+    host.asked(9.1, viewing_request(2))
     assert sent(port)[0] == 2
 
 
@@ -158,13 +167,13 @@
     from helpers import NEWS
 
     for how, again in (
-        (Ending.BROKEN, False),
-        (Ending.TIMED_OUT, False),
-        (Ending.UNREACHED, True),
-        (Ending.FULL, True),
+        (EndReason.BROKEN, False),
+        (EndReason.TIMED_OUT, False),
+        (EndReason.UNREACHED, True),
+        (EndReason.FULL, True),
     ):
-        host, port = hosted(packages=(NEWS._replace(repeat=Repeat.HARMFUL),))
-        host.asked(1.0, ask(1))
+        host, port = hosted(packages=(NEWS._replace(repeat=RepeatSafety.HARMFUL),))
+        host.asked(1.0, viewing_request(1))
         viewing, number, st, _ = sent(port)
         host.ended(1.05, 1, number, how)
         assert (sent(port)[1] == 1) is again, how
@@ -173,14 +182,14 @@
 
 def test_illegal_steps_are_refused():
     host, port = hosted()
-    life = host.asked(1.0, ask(1))
+    life = host.asked(1.0, viewing_request(1))
     with pytest.raises(Misuse, match="held already"):
-        host.asked(1.0, ask(1))
+        host.asked(1.0, viewing_request(1))
     with pytest.raises(Misuse, match="cannot become"):
-        life.move(State.CLOSING)
-    life.conclude(Answer("blocked"))
+        life.transition_to(ViewingState.CLOSING)
+    life.record_answer(Answer("blocked"))
     with pytest.raises(Misuse, match="was answered"):
-        life.conclude(Answer("plays"))
+        life.record_answer(Answer("plays"))
 
 
 def drive(seed, record):
@@ -200,37 +209,39 @@
         chance = r.random()
         if chance < 0.35:
             asked += 1
-            host.asked(now, ask(asked, r.randint(0, 2), left=r.uniform(0.1, 3)))
+            host.asked(now, viewing_request(asked, r.randint(0, 2), left=r.uniform(0.1, 3)))
         elif chance < 0.75 and out:
             viewing, number = r.choice(list(out))
             st = out.pop((viewing, number))
-            load = r.choice((None, Load(link=r.uniform(0, 0.8), rack=r.uniform(0, 0.8))))
+            load = r.choice((None, LoadReport(link=r.uniform(0, 0.8), rack=r.uniform(0, 0.8))))
             if r.random() < 0.85:
                 host.started(now, viewing, number, st, load)
             else:
-                host.ended(now, viewing, number, r.choice([Ending.FULL] * 8 + list(Ending)), load)
+                host.ended(now, viewing, number, r.choice([EndReason.FULL] * 8 + list(EndReason)), load)
         elif chance < 0.85 and asked:
             host.left(now, r.randint(1, asked))
-        elif chance < 0.9 and host.lives:
-            viewing = r.choice(list(host.lives))
-            host.torn_down(now, viewing, host.lives[viewing].number)
+        elif chance < 0.9 and host.viewings:
+            viewing = r.choice(list(host.viewings))
+            host.torn_down(now, viewing, host.viewings[viewing].number)
         elif chance < 0.93:
             host.share_told(now, r.randint(10, 13), r.uniform(0.35, 1))
         elif chance < 0.96:
             host.load_told(now, r.randint(10, 13), r.random() < 0.5, None, r.uniform(0, 1))
-        elif chance < 0.98 and host.lives:
-            viewing = r.choice(list(host.lives))
-            host.ended(now, viewing, host.lives[viewing].number, Ending.BROKEN)
+        elif chance < 0.98 and host.viewings:
+            viewing = r.choice(list(host.viewings))
+            host.ended(now, viewing, host.viewings[viewing].number, EndReason.BROKEN)
         else:
             st = r.randint(10, 12)
             host.listed(
-                now, "changes", (streamer(st, st - 10, r.choice([Standing.ACTIVE] * 7 + list(Standing))),)
+                now,
+                "changes",
+                (streamer_entry(st, st - 10, r.choice([StreamerStatus.ACTIVE] * 7 + list(StreamerStatus))),),
             )
     for _ in range(200):
         now = max(now, port.at)
         host.woke(now)
     unanswered = [vw for vw in range(1, asked + 1) if vw not in port.answers]
-    assert not unanswered and not any(life.state is State.WAITING for life in host.lives.values())
+    assert not unanswered and not any(life.state is ViewingState.WAITING for life in host.viewings.values())
     return host
 
 
@@ -262,28 +273,28 @@
     whole = b"".join(record)
     lines = whole[: len(whole) // 2].splitlines(keepends=True)
     assert replay(lines)[2] is None
-    with pytest.raises(Torn, match="line 5"):
+    with pytest.raises(RecordError, match="line 5"):
         replay([*record[:4], b"{nonsense\n", *record[4:]])
-    with pytest.raises(Torn, match="line 1"):
+    with pytest.raises(RecordError, match="line 1"):
         replay([b"{}\n"])
 
 
 def test_repeats_are_one_viewing_until_it_is_over():
-    repeats = Repeats(remember=10.0, most=2)
-    assert repeats.seen(0.0, ("a",), "x") == (Again.NEW, None)
-    repeats.take(("a",), "x", 1)
-    assert repeats.seen(1.0, ("a",), "x") == (Again.JOIN, 1)
-    assert repeats.seen(1.0, ("a",), "other offer") == (Again.CLASH, None)
-    repeats.drop(2.0, 1, played=False)
-    assert repeats.seen(2.0, ("a",), "x") == (Again.NEW, None), "a blocked viewer comes again"
-    repeats.take(("a",), "x", 2)
-    repeats.drop(3.0, 2, played=True)
-    assert repeats.seen(4.0, ("a",), "x") == (Again.OVER, None)
-    assert repeats.seen(13.0, ("a",), "x") == (Again.NEW, None)
+    repeats = RepeatDetector(remember=10.0, most=2)
+    assert repeats.match(0.0, ("a",), "x") == (RepeatMatch.NEW, None)
+    repeats.add(("a",), "x", 1)
+    assert repeats.match(1.0, ("a",), "x") == (RepeatMatch.JOIN, 1)
+    assert repeats.match(1.0, ("a",), "other offer") == (RepeatMatch.CONFLICT, None)
+    repeats.remove(2.0, 1, played=False)
+    assert repeats.match(2.0, ("a",), "x") == (RepeatMatch.NEW, None), "a blocked viewer comes again"
+    repeats.add(("a",), "x", 2)
+    repeats.remove(3.0, 2, played=True)
+    assert repeats.match(4.0, ("a",), "x") == (RepeatMatch.ENDED, None)
+    assert repeats.match(13.0, ("a",), "x") == (RepeatMatch.NEW, None)
     for n in range(5):
-        repeats.take((n,), "x", n)
-        repeats.drop(20.0, n, played=True)
-    repeats.seen(20.0, (9,), "x")
+        repeats.add((n,), "x", n)
+        repeats.remove(20.0, n, played=True)
+    repeats.match(20.0, (9,), "x")
     assert len(repeats.ended) == 2, "what is remembered is bounded"
 
 
@@ -291,5 +302,5 @@
     from herongap.fleet.baselines import POLICIES
 
     c = controller()
-    ours = [name for name, make in POLICIES.items() if make.Table.pick is type(c).Table.pick]
+    ours = [name for name, make in POLICIES.items() if make.QualityTable.pick is type(c).QualityTable.pick]
     assert ours == ["herongap"] and {"random", "least-used"} < set(POLICIES)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -7,7 +7,7 @@
 from helpers import closing
 from node_world import OFFER, FakeResolver, FakeStreamer, World
 
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 
 
 @pytest.fixture
@@ -85,7 +85,7 @@
     v.say(t="down", ref=ref, c=16)
     w.until(lambda: any(s.heard("down", ref) for s in w.streamers.values()))
     gevent.sleep(0.05)
-    assert not v.of("up") and not v.of("down") and not w.node.host.lives
+    assert not v.of("up") and not v.of("down") and not w.node.host.viewings
 
 
 def test_a_streamer_replaced_at_its_address_does_not_pass_for_the_one_before(world):
@@ -98,7 +98,7 @@
     gevent.sleep(0.01)  # its listener is closed when its greenlet has ended
     w.streamers["s-00000009"] = FakeStreamer(old.address)
     w.resolver.serial += 1
-    w.until(lambda: v.of("down", ref) and "s-00000009" in w.node.host.standing)
+    w.until(lambda: v.of("down", ref) and "s-00000009" in w.node.host.statuses)
     again = w.ask(v)
     w.until(lambda: v.of("up", again))
 
@@ -125,7 +125,7 @@
     ref = w.ask(v)
     w.until(lambda: v.of("up", ref))
     upstream = w.node.port.upstreams["s-00000000"]
-    upstream.pulse.heard -= 60.0  # nothing was heard for a minute
+    upstream.liveness.last_heard -= 60.0  # nothing was heard for a minute
     w.until(lambda: v.of("down", ref), seconds=1.0)
     assert v.of("down", ref)[0]["c"] == 41
 
@@ -142,7 +142,7 @@
     w.until(lambda: second.asked)
     w.draining.add("s-00000000")
     second.serial = 2
-    w.until(lambda: w.node.host.standing["s-00000000"] is Standing.LEAVING)
+    w.until(lambda: w.node.host.statuses["s-00000000"] is StreamerStatus.LEAVING)
     second.close()
 
 
@@ -166,11 +166,11 @@
         assert w.node.resolver.serial == 1
     r.spoil = lambda data: data
     w.until(lambda: w.node.resolver.serial == 5)
-    assert w.node.host.standing["s-00000000"] is Standing.LEAVING
+    assert w.node.host.statuses["s-00000000"] is StreamerStatus.LEAVING
     w.draining.clear()
     r.serial, asked = 4, r.asked
     w.until(lambda: r.asked >= asked + 3)
-    assert w.node.host.standing["s-00000000"] is Standing.LEAVING
+    assert w.node.host.statuses["s-00000000"] is StreamerStatus.LEAVING
 
 
 BAD = (
@@ -231,7 +231,7 @@
     mine = w.ask(twice)
     w.ask(twice, ref=mine)
     w.until(lambda: twice.ended)
-    w.until(lambda: mine not in w.node.host.lives)
+    w.until(lambda: mine not in w.node.host.viewings)
 
 
 def test_connections_that_say_nothing_or_half_a_line_are_closed(world):
@@ -289,7 +289,7 @@
     ref = w.ask(v)
     w.until(lambda: v.of("up", ref))
     gevent.sleep(0.05)
-    assert [m["d"] for m in v.of("up")] == ["good"] and w.node.host.held("s-00000000")
+    assert [m["d"] for m in v.of("up")] == ["good"] and w.node.host.playing_at("s-00000000")
     assert not s.heard("down", ref)
 
 
--- a/tests/test_node_streamers.py
+++ b/tests/test_node_streamers.py
@@ -25,10 +25,10 @@
     w.until(lambda: w.streamers[at].peers)
     peer = w.streamers[at].peers[0]
     peer.say(t="tell", ref=first, f={"note": "at_rung", "value": "2"})
-    w.until(lambda: w.node.host.lives[first].rung == 2)
+    w.until(lambda: w.node.host.viewings[first].rung == 2)
     peer.say(t="down", ref=first, c=16)
     w.until(lambda: v.of("down", first))
-    assert not v.of("up") and not w.node.host.lives
+    assert not v.of("up") and not w.node.host.viewings
 
 
 PATIENT = [dict(SETTINGS["Grades"][0], Aim=6000.0, Deadline=9000.0), SETTINGS["Grades"][1]]
@@ -75,14 +75,14 @@
     v = w.viewer()
     ref = w.ask(v)
     w.until(lambda: v.of("up", ref))
-    old = w.node.host.lives[ref].streamer
+    old = w.node.host.viewings[ref].streamer
     same = w.streamers.pop(old)
     w.streamers["s-00000009"] = same  # it answers tests all the while
     w.resolver.serial += 1
     w.until(lambda: v.of("down", ref))
     again = w.ask(v)
     w.until(lambda: v.of("up", again))
-    assert w.node.host.lives[again].streamer != old
+    assert w.node.host.viewings[again].streamer != old
 
 
 def test_a_streamer_that_has_just_started_is_sent_no_more_than_its_pace(world):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Files and their checks, what a front takes on, the pulse of a streamer, and the command line."""
+"""Files and their checks, what a front takes on, the liveness of a streamer, and the command line."""
 
 import itertools
 import json
@@ -14,11 +14,19 @@
 from herongap.cli import main
 from herongap.daemon.feed import Watched
 from herongap.daemon.session import read_remote
-from herongap.host.pulse import GONE, LOST, PAID, SILENT, TESTED, Pulse, Word
+from herongap.host.liveness import (
+    LOST_AFTER_SECONDS,
+    PAID_TEST_TIMES,
+    SILENT_AFTER_SECONDS,
+    STREAM_GONE_AFTER_SECONDS,
+    TESTED_LOST_AFTER_SECONDS,
+    Liveness,
+    StreamerLiveness,
+)
 from herongap.http import Reply
 from herongap.ini import Faults, read_catalogue, read_list, read_site
 from herongap.intake import Bounds, Intake
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 from herongap.standins import Viewer
 from herongap.standins.player import Player
 
@@ -75,8 +83,8 @@
 def test_a_list_is_taken_whole_or_not_at_all():
     line = {"id": "s", "url": "http://127.0.0.1:80", "started": 100.0, "standing": "leaving", "rack": "r"}
     lines, addresses = read_list(json.dumps({"streamers": [line]}).encode(), epoch=-90.0)
-    assert lines[0].standing is Standing.LEAVING and lines[0].started == 10.0 and lines[0].rack == "r"
-    assert lines[0].cell == lines[0].shelf == "s" and addresses == {"s": ("127.0.0.1", 80)}
+    assert lines[0].status is StreamerStatus.LEAVING and lines[0].started == 10.0 and lines[0].rack == "r"
+    assert lines[0].cell == lines[0].holder_id == "s" and addresses == {"s": ("127.0.0.1", 80)}
     for bad in (
         {**line, "url": "ftp://x"},
         {**line, "weight": 0},
@@ -139,57 +147,72 @@
 
 
 def test_tests_that_are_paid_for_are_few_and_still_tell_of_an_end_in_time():
-    pulse, tested = Pulse(0.0, *PAID), []
+    liveness, tested = StreamerLiveness(0.0, *PAID_TEST_TIMES), []
     for quarter in range(1, 4 * 60):
         now = quarter / 4
         if now < 40 and quarter % 10 == 0:
-            pulse.spoke(now)  # notes of its own, each 2.5 s: no test is needed
-        if pulse.test(now):
+            liveness.on_data(now)  # notes of its own, each 2.5 s: no test is needed
+        if liveness.is_test_due(now):
             tested.append(now)
-        if pulse.word(now) is Word.LOST:
+        if liveness.check(now) is Liveness.LOST:
             break
     assert len(tested) == 1 and tested[0] > 40
-    assert now - 39.75 <= LOST - 1.0, "it went just after its last note, and its end is told within 8 s"
-    assert pulse.silent < PAID[0] and pulse.word(37.5 + pulse.silent) is Word.SILENT
+    assert now - 39.75 <= LOST_AFTER_SECONDS - 1.0, (
+        "it went just after its last note, and its end is told within 8 s"
+    )
+    assert (
+        liveness.silent_after < PAID_TEST_TIMES[0]
+        and liveness.check(37.5 + liveness.silent_after) is Liveness.SILENT
+    )
 
 
 def test_a_streamer_is_tested_no_more_often_than_tells_in_time_that_it_is_silent():
-    pulse, tested = Pulse(0.0, TESTED), []
+    liveness, tested = StreamerLiveness(0.0, TESTED_LOST_AFTER_SECONDS), []
     for quarter in range(1, 4 * 20):
         now = quarter / 4
-        if pulse.test(now):
+        if liveness.is_test_due(now):
             tested.append(now)
         if now == 9.0:
-            pulse.spoke(now)  # an answer, after which it is silent for good
+            liveness.on_data(now)  # an answer, after which it is silent for good
     gaps = [b - a for a, b in itertools.pairwise((0.0, *tested))]
-    assert max(gaps) <= SILENT - 1.0 and min(gaps) > SILENT / 2 and len(tested) >= 12
-    assert any(9.0 < at <= 8.0 + SILENT for at in tested), "silent only after a test with time to answer"
+    assert (
+        max(gaps) <= SILENT_AFTER_SECONDS - 1.0 and min(gaps) > SILENT_AFTER_SECONDS / 2 and len(tested) >= 12
+    )
+    assert any(9.0 < at <= 8.0 + SILENT_AFTER_SECONDS for at in tested), (
+        "silent only after a test with time to answer"
+    )
 
 
 def test_the_pulse_of_a_streamer():
-    pulse = Pulse(0.0)
-    words = {half / 2: pulse.word(half / 2) for half in range(1, int(2 * LOST) + 1)}
-    assert [at for at, word in words.items() if word is Word.SILENT][0] == SILENT
-    assert [at for at, word in words.items() if word is Word.LOST] == [LOST]
-    assert pulse.word(LOST + 0.1) is Word.LOST, "asked again it says so again"
-    pulse.spoke(LOST)
-    assert pulse.word(LOST) is Word.FINE
-    assert not pulse.broke(10.0, unknown=False) and not pulse.broke(10.0 + GONE - 0.1, unknown=False)
-    assert pulse.broke(10.0 + GONE, unknown=False) and Pulse(0.0).broke(0.0, unknown=True)
-    pulse.spoke(12.0)
-    assert not pulse.broke(12.0, unknown=False), "a stream that came back starts anew"
+    liveness = StreamerLiveness(0.0)
+    words = {half / 2: liveness.check(half / 2) for half in range(1, int(2 * LOST_AFTER_SECONDS) + 1)}
+    assert [at for at, word in words.items() if word is Liveness.SILENT][0] == SILENT_AFTER_SECONDS
+    assert [at for at, word in words.items() if word is Liveness.LOST] == [LOST_AFTER_SECONDS]
+    assert liveness.check(LOST_AFTER_SECONDS + 0.1) is Liveness.LOST, "asked again it says so again"
+    liveness.on_data(LOST_AFTER_SECONDS)
+    assert liveness.check(LOST_AFTER_SECONDS) is Liveness.ALIVE
+    assert not liveness.on_stream_broken(10.0, unknown=False) and not liveness.on_stream_broken(
+        10.0 + STREAM_GONE_AFTER_SECONDS - 0.1, unknown=False
+    )
+    assert liveness.on_stream_broken(10.0 + STREAM_GONE_AFTER_SECONDS, unknown=False) and StreamerLiveness(
+        0.0
+    ).on_stream_broken(0.0, unknown=True)
+    liveness.on_data(12.0)
+    assert not liveness.on_stream_broken(12.0, unknown=False), "a stream that came back starts anew"
 
 
 def test_who_was_stopped_takes_none_of_that_time_for_a_streamers_silence():
     for silence in (0.0, 1.0, 2.0):  # before the stop
-        pulse = Pulse(0.0)
-        assert all(pulse.word(at) is Word.FINE for at in (0.0, silence / 2, silence))
+        liveness = StreamerLiveness(0.0)
+        assert all(liveness.check(at) is Liveness.ALIVE for at in (0.0, silence / 2, silence))
         back = 60.0 + silence
-        assert pulse.word(back) is Word.FINE
+        assert liveness.check(back) is Liveness.ALIVE
         # One that is dead is found out all the same, as late as if the clock had stood still meanwhile.
-        words = {half / 2: pulse.word(back + half / 2) for half in range(1, 20)}
-        assert [at for at, word in words.items() if word is Word.SILENT][0] == SILENT - silence
-        assert [at for at, word in words.items() if word is Word.LOST][0] == LOST - silence
+        words = {half / 2: liveness.check(back + half / 2) for half in range(1, 20)}
+        assert [at for at, word in words.items() if word is Liveness.SILENT][
+            0
+        ] == SILENT_AFTER_SECONDS - silence
+        assert [at for at, word in words.items() if word is Liveness.LOST][0] == LOST_AFTER_SECONDS - silence
 
 
 def test_a_streamers_links_lead_nowhere_else():
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from node_world import SETTINGS
 
-from herongap.interface import Ending, Standing
+from herongap.interface import EndReason, StreamerStatus
 from herongap.platform import launch, messages, roster
 from herongap.platform.charter import charter
 from herongap.platform.lines import MOST, Lines, TooLong
@@ -82,7 +82,7 @@
                 ask, at = messages.asked(m, TERMS)
             except messages.Unfit:
                 continue
-            assert 0 < ask.left <= messages.LONGEST and 0 <= ask.top <= TERMS.top
+            assert 0 < ask.time_left <= messages.LONGEST and 0 <= ask.top <= TERMS.top
             assert ask.holders and ask.holders <= {0, 1, 2} and ask.package == "standard"
 
 
@@ -92,7 +92,14 @@
         b'"key":"7f3a9c21e0b4d655","hint":"8200.0","extras":"home:2;copies:2;top:2;viewer:0b;again:1"},"d":"x"}'
     )
     ask, at = messages.asked(messages.read(line), TERMS)
-    assert (ask.left, ask.length, ask.top, ask.again, ask.viewer, at) == (1.5, 8.2, 2, True, "0b", None)
+    assert (ask.time_left, ask.length, ask.top, ask.is_retry, ask.viewer, at) == (
+        1.5,
+        8.2,
+        2,
+        True,
+        "0b",
+        None,
+    )
     assert ask.holders == {2, 0}
     told = json.loads(messages.set_up(ask, 1, 0.2285, "x"))
     assert told == {
@@ -102,8 +109,8 @@
 
 
 def test_causes_say_how_a_viewing_ended():
-    assert messages.BEFORE[34] is Ending.FULL and messages.BEFORE[102] is Ending.NOT_SENT
-    assert messages.AFTER[31] is Ending.CALLED_OFF and 41 not in messages.AFTER
+    assert messages.BEFORE[34] is EndReason.FULL and messages.BEFORE[102] is EndReason.NOT_SENT
+    assert messages.AFTER[31] is EndReason.CALLED_OFF and 41 not in messages.AFTER
     assert json.loads(messages.down("a", 34, 0.5))["f"] == {"wait": "500"}
     assert json.loads(messages.down("a", 47))["f"] == {}
 
@@ -138,7 +145,7 @@
     told = roster.answer(answered(), 7, 2)
     assert told.serial == 42 and told.addresses == {"s-1": ("10.1.0.0", 5080), "s-2": ("10.1.0.1", 5080)}
     one, two = told.lines["s-1"], told.lines["s-2"]
-    assert (one.standing, two.standing) == (Standing.ACTIVE, Standing.LEAVING)
+    assert (one.status, two.status) == (StreamerStatus.ACTIVE, StreamerStatus.LEAVING)
     assert (one.weight, one.started, two.started, two.zone, two.rack) == (20.5, None, 1.5, "east", 1)
 
 
@@ -196,8 +203,8 @@
 def test_a_configuration_and_the_events_in_it():
     read = launch.read(json.dumps(configuration()).encode())
     assert read.listen == ("10.0.0.4", 5080) and read.longest == 1.8 and read.charter.packages[1].seats == 2
-    assert {n: line.standing for n, line in read.known.lines.items()} == {
-        "b": Standing.ACTIVE, "c": Standing.LEAVING,
+    assert {n: line.status for n, line in read.known.lines.items()} == {
+        "b": StreamerStatus.ACTIVE, "c": StreamerStatus.LEAVING,
     }  # fmt: skip
     assert read.known.serial == 2
 
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -19,7 +19,7 @@
     tag_matches,
     wait_preferred,
 )
-from herongap.interface import Load
+from herongap.interface import LoadReport
 from herongap.orca import read_load, write_load
 from herongap.sdp import BadSdp, Endpoint, answer, offer, read_fragment, read_offer
 from herongap.sdp.fragment import Fragment, write_fragment
@@ -111,13 +111,13 @@
 
 @given(st.floats(0, 50), st.floats(0, 50))
 def test_loads_go_there_and_back(link_ratio, rack):
-    read = read_load(write_load(Load(link_ratio, None, rack)))
+    read = read_load(write_load(LoadReport(link_ratio, None, rack)))
     assert abs(read.link - link_ratio) < 1e-3 and abs(read.rack - rack) < 1e-3
 
 
 def test_a_load_that_is_no_figure_is_absent():
     assert read_load('JSON {"named_metrics": {"link": "1", "rack": true}}') is None
-    assert read_load('JSON {"named_metrics": {"link": -1}, "application_utilization": 0.7}') == Load(
+    assert read_load('JSON {"named_metrics": {"link": -1}, "application_utilization": 0.7}') == LoadReport(
         None, 0.7, None
     )
     assert read_load("TEXT x=1") is None and read_load(None) is None
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -40,7 +40,7 @@
         return made
 
     def lives(self):
-        return self.daemon.host.lives
+        return self.daemon.host.viewings
 
 
 @pytest.fixture
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -103,20 +103,20 @@
     """Leaves some viewings without an answer."""
 
     def give_up(self, vw):
-        self.known.waiting.pop(vw.id, None)
+        self.state.waiting.pop(vw.id, None)
 
 
 class Repeats:
     """Sets up again whatever the terms."""
 
-    def repeats_at(self, now, vw, st):
+    def may_repeat_at(self, now, vw, st):
         return True
 
 
 class Unpaced:
     """Sends cold streamers whatever comes."""
 
-    def paced(self, now, st):
+    def may_send(self, now, st):
         return True
 
 
@@ -125,7 +125,7 @@
 
     def __init__(self, now, seed, charter):
         super().__init__(now, seed, charter)
-        for terms in self.known.packages.values():
+        for terms in self.state.packages.values():
             terms.floor = terms.seats = 0
 
 
@@ -140,9 +140,9 @@
     """Takes the leaving for active."""
 
     def listed(self, now, kind, lines):
-        from herongap.interface import Standing
+        from herongap.interface import StreamerStatus
 
-        super().listed(now, kind, tuple(line._replace(standing=Standing.ACTIVE) for line in lines))
+        super().listed(now, kind, tuple(line._replace(status=StreamerStatus.ACTIVE) for line in lines))
 
 
 def unguarded(daemon):
@@ -150,12 +150,17 @@
 
 
 BROKEN = [
-    (1, {"Placing": Loses}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 4\npart = 1\n"),
-    (2, {"Limits": Repeats}, None, "[trouble lose]\nkind = lose\nat = 0.5\nlasts = 2\npart = 0.4\n"),
+    (1, {"Placement": Loses}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 4\npart = 1\n"),
+    (2, {"Admission": Repeats}, None, "[trouble lose]\nkind = lose\nat = 0.5\nlasts = 2\npart = 0.4\n"),
     (3, Undrained, unguarded, "[trouble drain]\nkind = drain\nat = 0\nlasts = 4\npart = 0.5\n"),
-    (4, {"Turns": Unpaced}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 1\npart = 1\n"),
+    (4, {"SlowStart": Unpaced}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 1\npart = 1\n"),
     (5, Unfloored, None, "[trouble crowd]\nkind = crowd\nat = 0\nlasts = 4\nsize = 1\nextra = 1\n"),
-    (6, {"Limits": Unbudgeted}, None, "[trouble fail]\nkind = fail\nat = 0\nlasts = 4\npart = 1\nsize = 0.7"),
+    (
+        6,
+        {"Admission": Unbudgeted},
+        None,
+        "[trouble fail]\nkind = fail\nat = 0\nlasts = 4\npart = 1\nsize = 0.7",
+    ),
 ]
 
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -45,7 +45,7 @@
     w.until(lambda: again.of("down", ref))
     # Answered it is told no more.
     again.say(t="down", ref=ref, c=31)
-    w.until(lambda: not w.node.host.lives)
+    w.until(lambda: not w.node.host.viewings)
     again.reset()
     gevent.sleep(0.6)
     assert not door.waits()
@@ -75,7 +75,7 @@
     w.until(lambda: client.of("up", second))
     client.say(t="down", ref=ref, c=16)  # into the connection of one that is cut off
     w.until(lambda: client.of("ack", ref))
-    w.node.port.upstreams["s-00000000"].pulse.heard -= 60.0  # nothing was heard for a minute
+    w.node.port.upstreams["s-00000000"].liveness.last_heard -= 60.0  # nothing was heard for a minute
     w.until(lambda: client.of("down", second))
     again = door.taken()  # and now it is back
     w.until(lambda: again.of("down", second) and again.of("down", ref))
@@ -150,7 +150,7 @@
     client = Plain(w.address)
     handed(w, client, name)
     w.until(lambda: client.of("down", "0123456789abcdef"), 1.0)
-    assert not w.node.host.lives and not w.node.viewers.sessions
+    assert not w.node.host.viewings and not w.node.viewers.sessions
 
 
 # Who is gone, and who only closed its door.
@@ -165,7 +165,7 @@
     peer.close()
     w.until(lambda: client.of("down", second))
     gevent.sleep(0.6)  # it has been dialled again, and refused
-    assert ref in w.node.host.lives and not client.of("down", ref)
+    assert ref in w.node.host.viewings and not client.of("down", ref)
     w.streamers.clear()
     w.resolver.serial += 1
     w.until(lambda: client.of("down", ref), 1.5)  # as soon as the list says that it has gone
@@ -178,9 +178,9 @@
     w.streamers[name]._greenlet.kill()
     client = Plain(w.address)
     handed(w, client, name)
-    w.until(lambda: w.node.host.lives)
+    w.until(lambda: w.node.host.viewings)
     gevent.sleep(0.6)
-    assert w.node.host.lives and not client.of("down")
+    assert w.node.host.viewings and not client.of("down")
     w.until(lambda: client.of("down"), 6.0)  # nobody hears of its end there: not for longer than is allowed
 
 
@@ -197,4 +197,4 @@
     w.resolver.serial += 1
     w.until(lambda: client.of("down", ref), 1.5)
     assert [m["c"] for m in client.of("down", ref)] == [41]
-    assert second in w.node.host.lives and not client.of("down", second)
+    assert second in w.node.host.viewings and not client.of("down", second)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -7,7 +7,7 @@
 from helpers import closing
 from node_world import FakeResolver, World
 
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 
 
 @pytest.fixture
@@ -97,7 +97,7 @@
 
 
 def drained(w, name="s-00000000"):
-    return lambda: w.node.host.standing.get(name) is Standing.LEAVING
+    return lambda: w.node.host.statuses.get(name) is StreamerStatus.LEAVING
 
 
 def test_a_change_is_known_before_it_counts_as_told_though_answers_get_lost(world):
@@ -137,4 +137,4 @@
 
 def test_a_controller_that_has_just_started_knows_what_its_configuration_holds_at_once(world):
     w = world(streamers=2)
-    assert set(w.node.host.standing) == set(w.streamers) and w.node.resolver.serial == 1
+    assert set(w.node.host.statuses) == set(w.streamers) and w.node.resolver.serial == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,18 +2,25 @@
 
 import random
 
-from helpers import NEWS, ask, charter, controller, pull, streamer
+from helpers import NEWS, controller, deployment_config, pull_decisions, streamer_entry, viewing_request
 
-from herongap.interface import Ending, Group, Load, Repeat, Standing
+from herongap.interface import EndReason, LoadReport, RepeatSafety, RepeatScope, StreamerStatus
 
 PACKAGES = (
     NEWS._replace(floor=1, seats=3),
-    NEWS._replace(name="once", repeat=Repeat.HARMFUL),
-    NEWS._replace(name="keyed", repeat=Repeat.IN_GROUP, group=Group.ZONE),
+    NEWS._replace(name="once", repeat=RepeatSafety.HARMFUL),
+    NEWS._replace(name="keyed", repeat=RepeatSafety.IN_GROUP, group=RepeatScope.ZONE),
+)
+NEVER_RAN = (EndReason.FULL, EndReason.UNREACHED, EndReason.NOT_SENT)
+FULL_TOO = (EndReason.FULL,) * 6  # leaves a streamer in use, so that further tune-ins are met
+FAILURES = (
+    *FULL_TOO,
+    EndReason.FAULTY,
+    EndReason.TIMED_OUT,
+    EndReason.UNREACHED,
+    EndReason.BROKEN,
+    EndReason.UNKNOWN,
 )
-NEVER_RAN = (Ending.FULL, Ending.UNREACHED, Ending.NOT_SENT)
-FULL_TOO = (Ending.FULL,) * 6  # leaves a streamer in use, so that further tune-ins are met
-FAILURES = (*FULL_TOO, Ending.FAULTY, Ending.TIMED_OUT, Ending.UNREACHED, Ending.BROKEN, Ending.UNKNOWN)
 
 
 class World:
@@ -21,9 +28,11 @@
 
     def __init__(self, seed: int, **terms):
         self.random, self.now = random.Random(seed), 0.0
-        self.terms = charter(packages=PACKAGES, extra_free=1.0, extra_share=0.1, extra_window=5.0, **terms)
+        self.terms = deployment_config(
+            packages=PACKAGES, extra_free=1.0, extra_share=0.1, extra_window=5.0, **terms
+        )
         self.c = controller(self.terms, cells=6)
-        self.standing = {10 + i: Standing.ACTIVE for i in range(6)}
+        self.standing = {10 + i: StreamerStatus.ACTIVE for i in range(6)}
         self.started = {st: -1e9 for st in self.standing}
         self.asks, self.owed, self.out, self.playing, self.ran, self.tries = {}, {}, {}, {}, {}, {}
         self.seats, self.taken, self.extras, self.cold = {}, [], [], []
@@ -34,9 +43,9 @@
         assert vw in self.owed and vw not in self.out and vw not in self.playing, (
             "two tune-ins, or one too late"
         )
-        assert self.standing[st] is Standing.ACTIVE, "sent to a drained streamer"
+        assert self.standing[st] is StreamerStatus.ACTIVE, "sent to a drained streamer"
         assert 0 < patience <= self.owed[vw] - self.now + 1e-9
-        if package.repeat is Repeat.HARMFUL:
+        if package.repeat is RepeatSafety.HARMFUL:
             assert not self.ran.get(vw), "set up twice"
         self.tries[vw] = self.tries.get(vw, 0) + 1
         assert self.tries[vw] <= self.terms.tune_ins
@@ -55,7 +64,7 @@
         self.out[vw] = st
 
     def pull(self) -> None:
-        for verb, *rest in pull(self.c, self.now):
+        for verb, *rest in pull_decisions(self.c, self.now):
             if verb == "tune_in":
                 self.check_tune_in(*rest)
             elif verb == "rung":
@@ -72,14 +81,14 @@
             "answer overdue"
         )
 
-    def end(self, vw: int, how: Ending) -> None:
+    def end(self, vw: int, how: EndReason) -> None:
         st = self.out.pop(vw, None) or self.playing.pop(vw)[0]
         ask = self.asks[vw]
         self.seats[ask.title, ask.package] -= 1
         closed = vw not in self.owed
         if how not in NEVER_RAN:
             self.ran[vw] = True
-        load = Load(link=self.random.uniform(0, 0.7)) if self.random.random() < 0.5 else None
+        load = LoadReport(link=self.random.uniform(0, 0.7)) if self.random.random() < 0.5 else None
         self.c.ended(self.now, vw, 0, st, how, 0.1, closed, load)
 
     def step(self) -> None:
@@ -88,15 +97,15 @@
         if r.random() < 0.15:
             self.number += 1
             package = r.choice(PACKAGES).name
-            a = ask(
+            a = viewing_request(
                 self.number, r.randint(1, 2), package, r.randint(1, 3), r.randint(3, 6), r.uniform(0.2, 4)
             )
-            self.asks[a.viewing], self.owed[a.viewing] = a, self.now + a.left
+            self.asks[a.viewing], self.owed[a.viewing] = a, self.now + a.time_left
             self.taken.append(self.now)
             self.c.asked(self.now, a)
         for vw in list(self.out):
             if self.owed.get(vw, 1e9) <= self.now or (chance := r.random()) < 0.04:
-                self.end(vw, Ending.TIMED_OUT if vw not in self.owed else r.choice(FAILURES))
+                self.end(vw, EndReason.TIMED_OUT if vw not in self.owed else r.choice(FAILURES))
             elif chance < 0.2:
                 self.playing[vw] = (self.out.pop(vw), self.now + r.uniform(0.1, 20))
                 self.owed.pop(vw, None)
@@ -105,17 +114,19 @@
                 self.c.left(self.now, vw)
         for vw, (st, until) in list(self.playing.items()):
             if until <= self.now or r.random() < 0.0003:
-                self.end(vw, r.choice((Ending.PLAYED, Ending.BROKEN, Ending.CALLED_OFF)))
+                self.end(vw, r.choice((EndReason.PLAYED, EndReason.BROKEN, EndReason.CALLED_OFF)))
             elif r.random() < 0.01:
                 self.c.load_told(self.now, st, r.random() < 0.5, vw, r.uniform(0, 0.7))
                 self.c.share_told(self.now, st, r.uniform(0.9, 1))
         if r.random() < 0.008:
             st = r.choice(list(self.standing))
-            self.standing[st] = r.choice((Standing.ACTIVE, Standing.ACTIVE, Standing.LEAVING))
+            self.standing[st] = r.choice(
+                (StreamerStatus.ACTIVE, StreamerStatus.ACTIVE, StreamerStatus.LEAVING)
+            )
             if r.random() < 0.5:
                 self.started[st] = self.now
             since = self.started[st] if self.started[st] > 0 else None
-            self.c.listed(self.now, "changes", (streamer(st, st - 10, self.standing[st], since),))
+            self.c.listed(self.now, "changes", (streamer_entry(st, st - 10, self.standing[st], since),))
         self.c.woke(self.now)
         self.pull()
 
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -15,7 +15,7 @@
 from node_world import World as Platform
 from plain_peers import SLOW, Plain, all_busy, at_once
 
-from herongap.interface import Standing
+from herongap.interface import StreamerStatus
 from herongap.node.resolver import PATIENCE
 
 STOP = 30.0  # seconds: over any time after which a silent streamer's viewings are lost
@@ -50,15 +50,17 @@
     for _ in range(6):
         refs.append(w.ask(v))
         w.until(lambda: v.of("up", refs[-1]))
-    assert all(w.node.host.held(name) for name in w.streamers), "something plays at each"
+    assert all(w.node.host.playing_at(name) for name in w.streamers), "something plays at each"
     clock.stopped += STOP
     if said:  # its streamers have: that lies unread
         for s in w.streamers.values():
             at_once(s.peers[0], t="hb_ok", ref="00", c=1)
     gevent.sleep(1.0)  # several looks at what is silent
-    assert not v.of("down") and not v.of("shift") and set(refs) == set(w.node.host.lives)
-    known = w.node.host.module.known
-    assert all(st.back < clock() for st in known.streamers.values()), "nobody is set aside for our own stop"
+    assert not v.of("down") and not v.of("shift") and set(refs) == set(w.node.host.viewings)
+    known = w.node.host.module.state
+    assert all(st.set_aside_until < clock() for st in known.streamers.values()), (
+        "nobody is set aside for our own stop"
+    )
     again = w.ask(v)
     w.until(lambda: v.of("up", again), 1.0)
 
@@ -68,14 +70,16 @@
     w = front(streamers=2, clock=clock)
     held = [w.viewer(f"v{i}") for i in range(6)]
     assert all(v.post(2).status == 201 for v in held)
-    port, known = w.daemon.port, w.daemon.host.module.known
-    w.until(lambda: len(port.followers) == 2 and all(f.pulse.heard for f in port.followers.values()))
+    port, known = w.daemon.port, w.daemon.host.module.state
+    w.until(lambda: len(port.followers) == 2 and all(f.liveness.last_heard for f in port.followers.values()))
     w.order("silent")  # their event streams stand, and say nothing for now
     gevent.sleep(1.2)  # until each look at one is a look at its silence
     clock.stopped += STOP
     gevent.sleep(1.2)
-    assert len(w.daemon.host.lives) == 6 and w.playing() == 6
-    assert all(st.back < clock() for st in known.streamers.values()), "nobody is set aside for our own stop"
+    assert len(w.daemon.host.viewings) == 6 and w.playing() == 6
+    assert all(st.set_aside_until < clock() for st in known.streamers.values()), (
+        "nobody is set aside for our own stop"
+    )
     w.order("heal")
     assert w.viewer("b").post(2).status == 201
 
@@ -104,7 +108,7 @@
     resolver.sendto(w.resolver.answer(asked[0][0]), asked[0][1])
     at_once(held[0][0], t="down", ref=ref, c=34)  # so that it goes on to the other at once
     time.sleep(PATIENCE + 0.1)  # the process is late, and no other question is ever answered
-    w.until(lambda: w.node.host.standing[other] is Standing.LEAVING, 0.5)
+    w.until(lambda: w.node.host.statuses[other] is StreamerStatus.LEAVING, 0.5)
     gevent.sleep(0.3)
     assert not w.streamers[other].news
     resolver.close()
