--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -8,22 +8,22 @@
 import sys
 from statistics import mean, stdev
 
-from herongap.accord import Kind, Shares, Terms
+from herongap.accord import BudgetKind, BudgetShare, BudgetTerms
 from herongap.fleet.settling import Net, World
 
-HELD = Terms("held", Kind.HELD, 80, floor=1, linger=16.0)
+HELD = BudgetTerms("held", BudgetKind.HELD, 80, floor=1, linger=16.0)
 PARTS = (("steady", 10, 30), ("a crowd moved", 30, 40), ("moved for 10 s", 40, 50), ("half killed", 50, 60))
 
 
-class Fixed(Shares):
+class Fixed(BudgetShare):
     """The whole over the number of controllers, for good."""
 
     parts = 8
 
-    def mine(self, now):
-        return self.terms.whole // self.parts
+    def allowance(self, now):
+        return self.terms.limit // self.parts
 
-    def step(self, now, live):
+    def next_commit(self, now, live):
         return None
 
     def overdue(self, now):
@@ -35,7 +35,7 @@
 
     class AllSeeing(Fixed):
         def room(self, now):
-            return self.terms.whole - len(place[0].held[name])
+            return self.terms.limit - len(place[0].held[name])
 
     return AllSeeing
 
@@ -44,7 +44,7 @@
     """Let in by each part of the day."""
     found, place = [], []
     make = all_seeing(place, "held") if make is None else make
-    rate = 0.9 * HELD.whole / 4.0
+    rate = 0.9 * HELD.limit / 4.0
     w = World(seed, numbers, (HELD,), Net(0.004), demand=rate / numbers, lasts=4.0, make=make, waits=0.3)
     place.append(w)
     for _, begin, end in PARTS:
@@ -58,12 +58,12 @@
         before = w.let_in
         w.run(end)
         found.append(w.let_in - before)
-    assert make is not Shares or not w.broken, w.broken[:3]
+    assert make is not BudgetShare or not w.broken, w.broken[:3]
     return found
 
 
 def use(seeds: int) -> None:
-    arms = {"shares": Shares, "fixed": Fixed}
+    arms = {"shares": BudgetShare, "fixed": Fixed}
     best = [day(s, None) for s in range(seeds)]
     for name, make in arms.items():
         days = [day(s, make) for s in range(seeds)]
@@ -75,7 +75,7 @@
 
 def cost() -> None:
     for numbers in (8, 50, 100):
-        terms = HELD._replace(whole=10 * numbers)
+        terms = HELD._replace(limit=10 * numbers)
         w = World(1, numbers, (terms,), Net(0.004), demand=10 * 0.9 / 4.0, lasts=4.0, waits=0.3)
         w.run(10.0)
         told = []
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -14,9 +14,9 @@
 from statistics import mean, quantiles, stdev
 
 from herongap.fleet.gossiping import Net
-from herongap.gossip import Standing, Terms
+from herongap.gossip import GossipConfig, MemberStatus
 
-PLAIN = Terms(health=0, longest=1.0, confirms=0, notices=False)
+PLAIN = GossipConfig(max_health=0, max_suspicion_factor=1.0, confirmations=0, detects_pauses=False)
 TTL = 6.0
 
 
@@ -31,16 +31,16 @@
         for m in members.values():
             if m.dead or not m.running:
                 continue
-            for number, word in m.gossip.book.words.items():
-                other, key = members.get(number), (m.number, number, word.life, word.raised)
-                if word.standing != Standing.GONE or key in self.seen or other is None or other.dead:
+            for number, word in m.gossip.members.records.items():
+                other, key = members.get(number), (m.number, number, word.incarnation, word.refutations)
+                if word.status != MemberStatus.GONE or key in self.seen or other is None or other.dead:
                     continue
                 self.seen.add(key)
                 # Whoever is stopped now, or was until a moment ago, may be called gone: it did not answer.
                 self.wrong += other.running and now - stopped.get(number, -99.0) > 5.0
 
 
-def play(size: int, seed: int, lost: float, terms: Terms) -> tuple[list[float], float, float, float]:
+def play(size: int, seed: int, lost: float, terms: GossipConfig) -> tuple[list[float], float, float, float]:
     """Seconds until each that runs knew of each death; wrong words an hour; bytes and datagrams a second."""
     net, chance, ended = Net(size, seed, terms, lost), Random(seed), {}
     net.run(30)
@@ -60,7 +60,7 @@
         began, left = net.clock.now, {m.number for m in net.members.values() if not m.dead}
         while left and net.clock.now < began + 40:
             net.run(net.clock.now + 0.1)
-            knows = {n for n in left if net.standing(number, n) == Standing.GONE}
+            knows = {n for n in left if net.standing(number, n) == MemberStatus.GONE}
             found += [net.clock.now - began] * len(knows)
             left -= knows
         found += [40.0] * len(left)
@@ -91,7 +91,7 @@
 def main(sizes: list[int], seeds: int) -> None:
     for size in sizes:
         for lost in (0.0, 0.05, 0.2):
-            for name, terms in (("herongap", Terms()), ("plain SWIM", PLAIN)):
+            for name, terms in (("herongap", GossipConfig()), ("plain SWIM", PLAIN)):
                 began = time.process_time()
                 runs = [play(size, seed, lost, terms) for seed in range(1, seeds + 1)]
                 cpu = (time.process_time() - began) / seeds / size / 100
--- a/herongap/accord/__init__.py
+++ b/herongap/accord/__init__.py
@@ -4,8 +4,18 @@
 what was answered and what was read, and asks again just before an effect leaves.
 """
 
-from herongap.accord.ledger import Commit, Ledger, Outcome
-from herongap.accord.shares import Division, Kind, Part, Shares, Terms
-from herongap.accord.tally import Tally
+from herongap.accord.document import Commit, CommitOutcome, SharedDocument
+from herongap.accord.shares import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms
+from herongap.accord.usage import UsageCounter
 
-__all__ = ["Commit", "Division", "Kind", "Ledger", "Outcome", "Part", "Shares", "Tally", "Terms"]
+__all__ = [
+    "Commit",
+    "Allocation",
+    "BudgetKind",
+    "SharedDocument",
+    "CommitOutcome",
+    "Allotment",
+    "BudgetShare",
+    "UsageCounter",
+    "BudgetTerms",
+]
--- a/herongap/cli/budgets.py
+++ b/herongap/cli/budgets.py
@@ -21,7 +21,7 @@
 
 def _stands(store: Store) -> dict:
     """Each whole with its parts; a part is `live` if the claim that wrote it still stands."""
-    from herongap.accord.shares import divided
+    from herongap.accord.shares import read_allocation
 
     revision, found = store.items()
     keys = {key.removeprefix(store.terms.prefix): kv for key, kv in found.items()}
@@ -31,16 +31,16 @@
         if kind != "budgets":
             continue
         try:
-            d = divided(kv.value)
+            d = read_allocation(kv.value)
         except ValueError as fault:
             told[name] = {"bad": str(fault)}
             continue
         parts = {}
-        for member, part in sorted(d.parts.items()):
+        for member, part in sorted(d.allotments.items()):
             claim = keys.get(f"controllers/{member}")
             live = claim is not None and claim.create_revision == part.life
             parts[member] = {"part": part.amount, "want": part.want, "live": live}
-        told[name] = {"whole": d.whole, "open": d.open, "free": d.free, "parts": parts}
+        told[name] = {"whole": d.limit, "open": d.open, "free": d.free, "parts": parts}
     return {"revision": revision, "budgets": told}
 
 
@@ -110,7 +110,7 @@
     above it. Raised, it is of use at once. What the files of the controllers say counts only where there is
     no document.
     """
-    from herongap.accord.shares import with_whole
+    from herongap.accord.shares import with_limit
     from herongap.etcd import messages as m
 
     store = Store(file)
@@ -121,7 +121,7 @@
         reply = store.call("/v3/kv/range", m.range_body(key, b""), m.Range)
         there = reply.kvs[0] if reply.kvs else None
         try:
-            data = with_whole(there.value if there else None, whole, unused)
+            data = with_limit(there.value if there else None, whole, unused)
         except ValueError as fault:
             raise click.ClickException(f"{key}: not understood, left as it is: {fault}") from fault
         base = there.mod_revision if there else 0
--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -6,7 +6,7 @@
 import structlog
 from gevent.event import Event
 
-from herongap.accord import Commit, Kind, Shares, Tally, Terms
+from herongap.accord import BudgetKind, BudgetShare, BudgetTerms, Commit, UsageCounter
 from herongap.etcd import messages as m
 from herongap.etcd.follower import Item
 from herongap.ini.parts import WholeTerms
@@ -15,11 +15,11 @@
 log = structlog.get_logger()
 
 
-def terms(name: str, whole: WholeTerms) -> Terms:
+def terms(name: str, whole: WholeTerms) -> BudgetTerms:
     """A budget as its section of the file states it."""
     w = whole
     keep = w.without_store == "keep"
-    return Terms(name, Kind(w.kind), w.whole, w.floor, w.window, w.linger, keep)
+    return BudgetTerms(name, BudgetKind(w.kind), w.whole, w.floor, w.window, w.linger, keep)
 
 
 class Budgets:
@@ -30,13 +30,13 @@
     `given(name, room)` is told of each whole of which more or less may be begun than before.
     """
 
-    def __init__(self, terms: Iterable[Terms], prefix: str, number: int, ttl: float, seed: int,
+    def __init__(self, terms: Iterable[BudgetTerms], prefix: str, number: int, ttl: float, seed: int,
                  clock: Callable, swap: Callable, faults: tuple,
                  live: Callable[[], Mapping[str, int] | None],
                  given: Callable[[str, int], None] = lambda name, room: None):  # fmt: skip
         self.clock, self.swap, self.faults, self.live, self.given = clock, swap, faults, live, given
-        self.shares = {t.name: Shares(t, str(number), ttl, seed) for t in terms}
-        self.tally = Tally(self.shares)
+        self.shares = {t.name: BudgetShare(t, str(number), ttl, seed) for t in terms}
+        self.tally = UsageCounter(self.shares)
         self.keys = {name: f"{prefix}budgets/{name}" for name in self.shares}
         self.nudge = Event()
         self.unknown = 0  # commits without an answer so far
@@ -46,21 +46,21 @@
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
-            bad = shares.bad
-            shares.shown(now, revision, item.mod if item else 0, item.value if item else None)
-            if shares.bad and shares.bad != bad:
-                log.error("budget not understood, nothing of it is used", budget=name, cause=shares.bad)
+            bad = shares.error
+            shares.observe(now, revision, item.mod if item else 0, item.value if item else None)
+            if shares.error and shares.error != bad:
+                log.error("budget not understood, nothing of it is used", budget=name, cause=shares.error)
         self.nudge.set()
 
     def leased(self, life: int, until: float, holds: bool, failing: bool) -> None:
         """How our number stands: by which claim it is ours, until when, and whether a renewal has failed."""
         for shares in self.shares.values():
-            shares.leased(life, until, holds, failing)
+            shares.update_lease(life, until, holds, failing)
 
     def set_back(self) -> None:
         """The store is another one than before."""
         for shares in self.shares.values():
-            shares.set_back()
+            shares.handle_store_restored()
 
     # What the port tells: a thing is (viewing, number) of a tune-in.
 
@@ -69,21 +69,21 @@
 
     def leaves(self, thing: Hashable) -> bool:
         """Whether it may leave now: every part that it counts for still covers it."""
-        fine = self.tally.leaves(self.clock(), thing)
+        fine = self.tally.try_start(self.clock(), thing)
         if not fine:
             log.info("budget gone before it left", thing=thing)
         return fine
 
     def adopted(self, thing: Hashable, wholes: Iterable[str]) -> None:
-        self.tally.adopted(self.clock(), thing, wholes)
+        self.tally.adopt(self.clock(), thing, wholes)
 
     def over(self, thing: Hashable, sure: bool = True) -> None:
         """It is over, or (not `sure`) nobody here will hear of its end."""
-        (self.tally.over if sure else self.tally.lost)(self.clock(), thing)
+        (self.tally.finish if sure else self.tally.mark_uncertain)(self.clock(), thing)
         self.nudge.set()
 
     def short(self, whole: str) -> None:
-        self.shares[whole].refused(self.clock())
+        self.shares[whole].record_rejection(self.clock())
         self.nudge.set()
 
     def leave(self) -> None:
@@ -96,7 +96,9 @@
     @property
     def left(self) -> bool:
         """Whether nothing here is ours any more."""
-        return all(s.division is None or s.me not in s.division.parts for s in self.shares.values())
+        return all(
+            s.allocation is None or s.controller not in s.allocation.allotments for s in self.shares.values()
+        )
 
     def run(self) -> None:
         """Commit what is due, for ever; each on a greenlet of its own, so that none waits for another."""
@@ -105,39 +107,39 @@
                 due = [shares for shares in self.shares.values() if shares.due <= self.clock()]
                 live = self.live() if due else None
                 for shares in due:
-                    if (commit := shares.step(self.clock(), live)) is not None:
+                    if (commit := shares.next_commit(self.clock(), live)) is not None:
                         gevent.spawn(self._send, shares, commit)
-                for name, room in self.tally.rooms(self.clock()):
+                for name, room in self.tally.room_changes(self.clock()):
                     self.given(name, room)
             except Exception:
                 log.exception("a fault of ours; the budgets go on")
             self.nudge.clear()
             self.nudge.wait(LOOK)
 
-    def _send(self, shares: Shares, commit: Commit) -> None:
+    def _send(self, shares: BudgetShare, commit: Commit) -> None:
         name = shares.terms.name
         try:
-            reply = self.swap(m.swap_body(self.keys[name], commit.base, commit.data))
+            reply = self.swap(m.swap_body(self.keys[name], commit.base_version, commit.data))
         except self.faults as fault:
             self.unknown += 1
             # Once for each commit: the same word a hundred times a second hides the others on the page.
-            told = log.debug if shares.ledger.doubt else log.warning
+            told = log.debug if shares.document.uncertain else log.warning
             told("budget: outcome unknown, sent again", budget=name, cause=repr(fault))
-            shares.unanswered(self.clock(), commit)
+            shares.handle_unknown_outcome(self.clock(), commit)
             return
         at = reply.header.revision
         revision, version, data = (at, at, commit.data) if reply.succeeded else reply.shown
-        shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
+        shares.handle_reply(self.clock(), commit, revision, reply.succeeded, version, data)
         self.nudge.set()
 
     def told(self) -> dict:
         """Where each budget stands here, for operators."""
         now, told = self.clock(), {}
         for name, s in self.shares.items():
-            d = s.division
+            d = s.allocation
             told[name] = {
-                "whole": d.whole if d else None, "open": bool(d and d.open), "mine": s.mine(now),
-                "use": s.use(now), "want": s.want(now), "doubt": s.ledger.doubt, "bad": s.bad,
-                "parts": {m: p._asdict() for m, p in sorted(d.parts.items())} if d else {},
+                "whole": d.limit if d else None, "open": bool(d and d.open), "mine": s.allowance(now),
+                "use": s.usage(now), "want": s.want(now), "doubt": s.document.uncertain, "bad": s.error,
+                "parts": {m: p._asdict() for m, p in sorted(d.allotments.items())} if d else {},
             }  # fmt: skip
         return told
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -7,7 +7,7 @@
 import h11
 import structlog
 
-from herongap.accord import Terms
+from herongap.accord import BudgetTerms
 from herongap.daemon.budgets import Budgets
 from herongap.daemon.feed import epoch
 from herongap.daemon.listen import read_address
@@ -80,7 +80,7 @@
     """
 
     def __init__(self, terms: Etcd, number: int, expected: int, seed: int, name: str, clock: Callable,
-                 listed: Callable, counted: Callable, budgets: tuple[Terms, ...] = (),
+                 listed: Callable, counted: Callable, budgets: tuple[BudgetTerms, ...] = (),
                  given: Callable = lambda name, room: None):  # fmt: skip
         self.terms, self.name, self.clock = terms, name, clock
         self.listed, self.counted = listed, counted
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from herongap.daemon.listen import Address, read_address
-from herongap.gossip import Gossip, Standing, Terms, Word
+from herongap.gossip import Gossip, GossipConfig, MemberRecord, MemberStatus
 from herongap.ini.parts import GossipPart
 
 log = structlog.get_logger()
@@ -27,11 +27,11 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(read_address(part.listen))
         host, port = read_address(part.advertise) if part.advertise else self.sock.getsockname()
-        terms = Terms(every=part.every, patience=part.patience)
-        me = Word(number, life, 0, Standing.ALIVE, host, port, zone)
+        terms = GossipConfig(probe_interval=part.every, ack_timeout=part.patience)
+        me = MemberRecord(number, life, 0, MemberStatus.ALIVE, host, port, zone)
         self.gossip = Gossip(clock(), me, part.fleet, terms, seed)
-        self.gossip.known([read_address(seed) for seed in part.seeds])
-        self.before: dict[int, tuple[int, Standing]] = {}
+        self.gossip.set_seeds([read_address(seed) for seed in part.seeds])
+        self.before: dict[int, tuple[int, MemberStatus]] = {}
         self.said = -1  # the changes of the book that were told so far
 
     def run(self) -> None:
@@ -51,7 +51,7 @@
             except OSError:
                 return
             try:
-                self.carry(self.gossip.heard(self.clock(), data, sender))
+                self.carry(self.gossip.receive(self.clock(), data, sender))
             except Exception:
                 log.exception("a fault of ours; the datagram is passed over", peer=sender[0])
 
@@ -63,17 +63,17 @@
         self._say()
 
     def _say(self) -> None:
-        if self.said == self.gossip.book.changes:
+        if self.said == self.gossip.members.change_count:
             return
-        self.said = self.gossip.book.changes
-        now = {n: (x.life, Standing(x.standing)) for n, x in self.gossip.book.words.items()}
+        self.said = self.gossip.members.change_count
+        now = {n: (x.incarnation, MemberStatus(x.status)) for n, x in self.gossip.members.records.items()}
         if now == self.before:
             return
         for number in now.keys() | self.before.keys():
             if now.get(number) != self.before.get(number):
                 life, standing = now.get(number, (0, None))
                 word = standing.name.lower() if standing is not None else "forgotten"
-                told = log.debug if standing == Standing.SUSPECT else log.info
+                told = log.debug if standing == MemberStatus.SUSPECT else log.info
                 told("member", number=number, life=life, standing=word)
         self.before = now
         self.changed()
@@ -82,13 +82,13 @@
         """Who lives, for operators."""
         g, now = self.gossip, self.clock()
         members = {
-            str(n): {"life": x.life, "standing": Standing(x.standing).name.lower(), "zone": x.zone,
+            str(n): {"life": x.incarnation, "standing": MemberStatus(x.status).name.lower(), "zone": x.zone,
                      "at": f"{x.host}:{x.port}"}
-            for n, x in sorted(g.book.words.items())
+            for n, x in sorted(g.members.records.items())
         }  # fmt: skip
         return {
-            "members": members, "live": sum(1 for _ in g.book.live()), "deaf": g.deaf(now),
-            "unheard_by": sorted(g.one_sided(now)), "health": g.health, "counts": g.counts,
+            "members": members, "live": sum(1 for _ in g.members.live()), "deaf": g.unheard(now),
+            "unheard_by": sorted(g.unheard_by(now)), "health": g.health, "counts": g.counts,
         }  # fmt: skip
 
     def leave(self) -> None:
--- a/herongap/daemon/journal.py
+++ b/herongap/daemon/journal.py
@@ -21,7 +21,7 @@
 from herongap.daemon.aside import put_aside
 from herongap.errors import HerongapError
 from herongap.interface import ViewingRequest
-from herongap.state import Known
+from herongap.state import ViewingStage
 
 FORMAT = 1
 MOST = 512 << 20  # bytes of the environment; a viewing takes about 1 kB
@@ -31,7 +31,7 @@
 class Entry(msgspec.Struct, array_like=True):
     """One viewing. `key` and `digest` make its request known again, `remote` is its place at its streamer."""
 
-    known: Known
+    known: ViewingStage
     ask: ViewingRequest
     number: int
     streamer: int | str
--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -14,7 +14,7 @@
 from herongap.daemon.session import Remote, Session
 from herongap.host import Answer
 from herongap.interface import EndReason
-from herongap.state import Fate, Found, Kept, Known, reconcile
+from herongap.state import JournaledViewing, RecoveryAction, StreamerSession, ViewingStage, reconcile
 
 AT_ONCE = 20  # streamers' sessions asked about at one time: new viewings come first
 TRIES, PAUSE = 3, 0.4  # how often a streamer that does not answer is asked, and seconds between
@@ -48,7 +48,7 @@
         self._await_list(entries)
         asked = Greenlets(AT_ONCE)
         # What plays first, the dearest before others.
-        entries.sort(key=lambda e: (e.known is not Known.PLAYING, -self._value(e)))
+        entries.sort(key=lambda e: (e.known is not ViewingStage.PLAYING, -self._value(e)))
         asked.map(self._settle, entries)
         if entries:
             log.info("recovered", seconds=round(time.monotonic() - began, 3), **self.told)
@@ -66,18 +66,20 @@
     def _settle(self, entry: Entry) -> None:
         viewing, session = entry.ask.viewing, self.port.sessions[entry.ask.viewing]
         there = self._there(session)
-        kept = Kept(viewing, entry.number, entry.streamer, entry.known, entry.rung, self._value(entry))
-        found = {entry.streamer: [Found(viewing, entry.number, entry.rung)] if there else []}
+        kept = JournaledViewing(
+            viewing, entry.number, entry.streamer, entry.known, entry.rung, self._value(entry)
+        )
+        found = {entry.streamer: [StreamerSession(viewing, entry.number, entry.rung)] if there else []}
         ((fate, _, _),) = reconcile([kept], found if there is not None else {entry.streamer: None})
         playable = entry.protocol != "dash" and entry.ask.package in self.door.packages
-        if fate is Fate.ADOPT and playable:
+        if fate is RecoveryAction.ADOPT and playable:
             self._adopt(entry, session)
             return
-        if session.remote and fate in (Fate.ADOPT, Fate.END, Fate.WAIT):
+        if session.remote and fate in (RecoveryAction.ADOPT, RecoveryAction.END, RecoveryAction.WAIT):
             # Not answered to the last: told to let go should it live, for nobody here controls it any more.
             self.port.remotes[viewing, entry.number] = session.remote
             self.port.tear_down(viewing, entry.number, entry.streamer, False)
-        self._let_go(session, "gone" if fate is Fate.GONE else "ended")
+        self._let_go(session, "gone" if fate is RecoveryAction.RELEASE else "ended")
 
     def _there(self, session: Session) -> bool | None:
         if session.remote is None:
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -182,7 +182,7 @@
     def _members(self) -> None:
         rank, count = self.place
         if self.whispers:
-            count = self.whispers.gossip.count(count, rank is not None)
+            count = self.whispers.gossip.controller_count(count, rank is not None)
         if self.feed and (rank, count) != self.counted:
             self.counted = rank, count
             self.host.counted(self.clock(), rank, count)
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -21,7 +21,7 @@
 from herongap.http import Reply
 from herongap.interface import EndReason, LoadReport, ViewingRequest
 from herongap.orca import HEADER, read_load
-from herongap.state import Known
+from herongap.state import ViewingStage
 from herongap.whep import write_layer
 
 Id = int | str
@@ -62,7 +62,7 @@
         self.calls[ask.viewing, number] = None
         if self.budgets:
             self.budgets.reserve((ask.viewing, number), self.host.viewings[ask.viewing].charged_budgets)
-        self._keep(ask.viewing, Known.SENT)
+        self._keep(ask.viewing, ViewingStage.SENT)
         gevent.spawn(self._tune_in, ask, number, streamer, rung, time_out)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
@@ -72,14 +72,14 @@
     def set_rung(self, viewing: Id, number: int, streamer: Id, rung: int) -> None:
         session = self.sessions[viewing]
         session.rung = rung
-        self._keep(viewing, Known.PLAYING)
+        self._keep(viewing, ViewingStage.PLAYING)
         if not session.setting:
             session.setting = True
             gevent.spawn(self._set_rung, session, number)
 
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
         if wanted:
-            self._keep(viewing, Known.CLOSING)
+            self._keep(viewing, ViewingStage.CLOSING)
         gevent.spawn(self._tear_down, viewing, number, streamer, wanted)
 
     def answer(self, viewing: Id, answer: Answer) -> None:
@@ -95,7 +95,7 @@
         if answer.verdict != "plays":
             self.forget(session, played=False)
             return
-        self._keep(viewing, Known.PLAYING)
+        self._keep(viewing, ViewingStage.PLAYING)
         session.done.set()
 
     def forget(self, session: Session, played: bool = True) -> None:
@@ -135,7 +135,7 @@
     def wake(self, at: float) -> None:
         self.alarm.set(at)
 
-    def _keep(self, viewing: Id, known: Known) -> None:
+    def _keep(self, viewing: Id, known: ViewingStage) -> None:
         """Write a viewing down, before the effect that depends on it."""
         if self.journal is None or (session := self.sessions.get(viewing)) is None:
             return
--- a/herongap/fleet/gossiping.py
+++ b/herongap/fleet/gossiping.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from herongap.fleet.clock import Clock
-from herongap.gossip import Gossip, Standing, Terms, Word
+from herongap.gossip import Gossip, GossipConfig, MemberRecord, MemberStatus
 
 DELAY = (0.0003, 0.002)  # seconds on the way
 BUFFER = 256  # datagrams that wait for a process that is stopped; those beyond are lost
@@ -20,10 +20,12 @@
     def __init__(self, net: "Net", number: int, life: int):
         self.net, self.number, self.life = net, number, life
         self.running, self.dead, self.waiting = True, False, []
-        me = Word(number, life, 0, Standing.ALIVE, "10.0.0.1", 10000 + number, f"zone-{number % 3}")
+        me = MemberRecord(
+            number, life, 0, MemberStatus.ALIVE, "10.0.0.1", 10000 + number, f"zone-{number % 3}"
+        )
         self.gossip = net.make(net.clock.now, me, "model", net.terms, net.seed * 1000 + number * 7 + life)
         some = net.draw.sample(range(net.size), min(3, net.size))
-        self.gossip.known([("10.0.0.1", 10000 + n) for n in some])
+        self.gossip.set_seeds([("10.0.0.1", 10000 + n) for n in some])
         self.wake()
 
     def wake(self) -> None:
@@ -38,7 +40,7 @@
         if not self.running:
             self.waiting = [*self.waiting, (data, sender)][:BUFFER]
             return
-        self.net.carry(self, self.gossip.heard(self.net.clock.now, data, sender))
+        self.net.carry(self, self.gossip.receive(self.net.clock.now, data, sender))
 
     def stop(self, seconds: float) -> None:
         self.running = False
@@ -61,10 +63,10 @@
 class Net:
     """`size` members; `lost` is the share of datagrams that never come; `cut(a, b)` whether a's reach b."""
 
-    def __init__(self, size: int, seed: int, terms: Terms | None = None, lost: float = 0.0,
+    def __init__(self, size: int, seed: int, terms: GossipConfig | None = None, lost: float = 0.0,
                  make: Callable = Gossip):  # fmt: skip
         self.size, self.seed, self.lost, self.make = size, seed, lost, make
-        self.terms, self.draw, self.clock = terms or Terms(), Random(seed), Clock()
+        self.terms, self.draw, self.clock = terms or GossipConfig(), Random(seed), Clock()
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self.wrong: list[tuple[float, int, int]] = []
         self.members: dict[int, Member] = {}
@@ -94,12 +96,12 @@
     def run(self, until: float) -> None:
         self.clock.run(until)
 
-    def standing(self, of: int, at: int) -> Standing | None:
+    def standing(self, of: int, at: int) -> MemberStatus | None:
         """What one member thinks of another."""
-        word = self.members[at].gossip.book.words.get(of)
-        return None if word is None else Standing(word.standing)
+        word = self.members[at].gossip.members.records.get(of)
+        return None if word is None else MemberStatus(word.status)
 
-    def agree(self, of: int, wanted: Standing, but: tuple[int, ...] = ()) -> bool:
+    def agree(self, of: int, wanted: MemberStatus, but: tuple[int, ...] = ()) -> bool:
         """Whether all that run think so of one."""
         return all(self.standing(of, m.number) == wanted
                    for m in self.members.values() if not m.dead and m.number not in (of, *but))  # fmt: skip
--- a/herongap/fleet/settling.py
+++ b/herongap/fleet/settling.py
@@ -1,9 +1,10 @@
 """Controllers that divide wholes through a store, in virtual time, with all between them that can fail.
 
-What moves are the shipped machines (`etcd.Membership`, `accord.Shares`); the store, the network, the pauses
-and what is held at streamers are modelled here. Each process has a clock of its own, that runs fast or slow.
-Messages are late, lost and doubled; processes are paused, killed and started; the store is away, or set back.
-The truth is kept beside: what is really in use, and each revision's parts. `broken` counts what was above.
+What moves are the shipped machines (`etcd.Membership`, `accord.BudgetShare`); the store, the network, the
+pauses and what is held at streamers are modelled here. Each process has a clock of its own, that runs
+fast or slow. Messages are late, lost and doubled; processes are paused, killed and started; the store is
+away, or set back. The truth is kept beside: what is really in use, and each revision's parts. `broken` counts
+what was above.
 """
 
 from collections import deque
@@ -11,8 +12,8 @@
 from random import Random
 from typing import NamedTuple
 
-from herongap.accord import Division, Kind, Shares, Terms
-from herongap.accord.shares import divided, with_whole
+from herongap.accord import Allocation, BudgetKind, BudgetShare, BudgetTerms
+from herongap.accord.shares import read_allocation, with_limit
 from herongap.etcd.membership import Membership, Step
 from herongap.fleet.clock import Clock
 
@@ -96,8 +97,8 @@
             self._lease(step, now)
         holds = self.member.holds(now)
         for shares in self.shares.values():
-            shares.leased(self.life, self.member.until, holds, self.failing)
-            if (commit := shares.step(now, world.live())) is not None:
+            shares.update_lease(self.life, self.member.until, holds, self.failing)
+            if (commit := shares.next_commit(now, world.live())) is not None:
                 self._commit(shares, commit)
             for _ in range(shares.overdue(now)):
                 world.end_one(self, shares.terms.name)
@@ -112,16 +113,16 @@
 
     def _shown(self, name: str, revision: int, version: int, data: bytes | None, backs: int) -> None:
         if backs == self.backs == self.world.backs:
-            self.shares[name].shown(self.clock(), revision, version, data)
+            self.shares[name].observe(self.clock(), revision, version, data)
 
-    def _commit(self, shares: Shares, commit) -> None:
+    def _commit(self, shares: BudgetShare, commit) -> None:
         store, backs = self.world.store, self.backs
         name = shares.terms.name
 
         def serve() -> tuple:
             if backs != self.world.backs:
                 return False, *store.documents.get(name, (0, None)), store.revision
-            won, version, data = store.commit(name, commit.base, commit.data)
+            won, version, data = store.commit(name, commit.base_version, commit.data)
             if won:
                 self.world.written(name)
             return won, version, data, store.revision
@@ -129,9 +130,9 @@
         def heard(got: tuple) -> None:
             won, version, data, revision = got
             if backs == self.backs == self.world.backs:
-                shares.answered(self.clock(), commit, version if won else revision, won, version, data)
+                shares.handle_reply(self.clock(), commit, version if won else revision, won, version, data)
 
-        self.world.ask(self, serve, heard, lambda: shares.unanswered(self.clock(), commit))
+        self.world.ask(self, serve, heard, lambda: shares.handle_unknown_outcome(self.clock(), commit))
 
     def _lease(self, step: Step, sent: float) -> None:
         store, member, ttl, lease = self.world.store, self.member, self.world.ttl, self.member.lease
@@ -173,9 +174,9 @@
 class World(Clock):
     """`count` controllers, one store, `terms` of the budgets. `make` builds the shares of a process."""
 
-    def __init__(self, seed: int, count: int, terms: tuple[Terms, ...], net: Net = CALM, ttl: float = 5.0,
-                 demand: float = 2.0, lasts: float = 2.0, make=Shares, drift: float = 0.05,
-                 waits: float = 0.0):  # fmt: skip
+    def __init__(self, seed: int, count: int, terms: tuple[BudgetTerms, ...], net: Net = CALM,
+                 ttl: float = 5.0, demand: float = 2.0, lasts: float = 2.0, make=BudgetShare,
+                 drift: float = 0.05, waits: float = 0.0):  # fmt: skip
         super().__init__()
         self.random, self.net, self.ttl, self.terms, self.make = Random(seed), net, ttl, terms, make
         self.expected, self.drift, self.lasts, self.waits = count, drift, lasts, waits
@@ -187,13 +188,13 @@
         # The truth: what is held by whom (a dead process's stays), what was begun when, and each whole.
         self.held: dict[str, dict[int, Process]] = {t.name: {} for t in terms}
         self.sent: dict[str, deque] = {t.name: deque() for t in terms}
-        self.whole = {t.name: t.whole for t in terms}
+        self.whole = {t.name: t.limit for t in terms}
         self.summed = dict.fromkeys(self.whole, 0)
         self.broken: list[str] = []
         self.asked = self.let_in = self.turned = self.unknown = 0
         self._things = 0
         for t in terms:
-            self.store.commit(t.name, 0, with_whole(None, t.whole, unused=True))
+            self.store.commit(t.name, 0, with_limit(None, t.limit, unused=True))
         self.store.keep()
         for number in range(count):
             self.start(number)
@@ -248,7 +249,7 @@
         self.store.set_back()
         for t in self.terms:
             # Until all is counted anew, what was given out by the store that is gone may be in use.
-            self.whole[t.name] = max(self.bound(t.name), self.division(t.name).whole)
+            self.whole[t.name] = max(self.bound(t.name), self.division(t.name).limit)
         for process in list(self.processes.values()):
             self.after(self.random.random(), self._told_back, process)
 
@@ -256,7 +257,7 @@
         """An operator changes the whole."""
         version, data = self.store.documents[name]
         self.whole[name] = whole
-        self.store.commit(name, version, with_whole(data, whole))
+        self.store.commit(name, version, with_limit(data, whole))
 
     # What goes on in it.
 
@@ -296,15 +297,15 @@
             self.after(self._way() + chance() * net.lag, arrives, False)
         self.after(PATIENCE, self._deliver, process, gives_up, ())
 
-    def division(self, name: str) -> Division:
-        return divided(self.store.documents[name][1])
+    def division(self, name: str) -> Allocation:
+        return read_allocation(self.store.documents[name][1])
 
     def written(self, name: str) -> None:
         """A commit was taken: are its parts within the whole, or at least not above what they were?"""
         d = self.division(name)
-        total = sum(part.amount for part in d.parts.values())
-        if d.open and total > max(d.whole, self.summed[name]):
-            self.broken.append(f"{self.now:.2f} {name}: parts of {total}, whole {d.whole}")
+        total = sum(part.amount for part in d.allotments.values())
+        if d.open and total > max(d.limit, self.summed[name]):
+            self.broken.append(f"{self.now:.2f} {name}: parts of {total}, whole {d.limit}")
         self.summed[name] = total
         for process in list(self.processes.values()):
             if self.random.random() >= self.net.lost:
@@ -351,7 +352,7 @@
         if process.alive:
             process.backs = self.backs
             for shares in process.shares.values():
-                shares.set_back()
+                shares.handle_store_restored()
 
     def _next(self, process: Process) -> None:
         # Drawn apart from all else, so that the same come in the same moments however they fare.
@@ -370,25 +371,25 @@
             self.asked += 1
             self._try(process, t, lasts, self.waits)
 
-    def _try(self, process: Process, t: Terms, lasts: float, left: float) -> None:
+    def _try(self, process: Process, t: BudgetTerms, lasts: float, left: float) -> None:
         """Begin it if there is room, now or within `left`: so long a viewing waits before it is blocked."""
         if not process.alive or process.paused:
             return
         shares, now = process.shares[t.name], process.clock()
         if shares.room(now) >= 1:
             self.let_in += 1
-            shares.began(now)
+            shares.record_start(now)
             self._begin(process, t, lasts)
             return
         if left == self.waits:
-            shares.refused(now)
+            shares.record_rejection(now)
         if left >= TICK:
             self.after(TICK, self._try, process, t, lasts, left - TICK)
         else:
             self.turned += 1
 
-    def _begin(self, process: Process, t: Terms, lasts: float) -> None:
-        if t.kind is Kind.RATE:
+    def _begin(self, process: Process, t: BudgetTerms, lasts: float) -> None:
+        if t.kind is BudgetKind.RATE:
             sent = self.sent[t.name]
             sent.append(self.now)
             while sent[0] <= self.now - t.window:
@@ -412,4 +413,4 @@
         process = self.held[name].pop(thing, None)
         if process and process.alive:
             # One that is paused hears of it when it goes on; until then it believes it holds it.
-            self._deliver(process, lambda: process.shares[name].ended(process.clock()), ())
+            self._deliver(process, lambda: process.shares[name].record_end(process.clock()), ())
--- a/herongap/fleet/sharing.py
+++ b/herongap/fleet/sharing.py
@@ -1,9 +1,10 @@
-"""A small world in which the shipped `Shares` are checked over all interleavings, with minicheck.
+"""A small world in which the shipped `BudgetShare` are checked over all interleavings, with minicheck.
 
 Two controllers, one whole of one, one store. The second is always there and quick; of the first each step may
 come late or never (it is stopped), its answers are lost, and it may be killed and come back; time goes on in
-steps of one second all the same. What is begun plays for `LASTS`. What moves are `herongap.accord.Shares`
-themselves: each step makes them from their state, calls them, and takes the state off again.
+steps of one second all the same. What is begun plays for `LASTS`. What moves are
+`herongap.accord.BudgetShare` themselves: each step makes them from their state, calls them, and
+takes the state off again.
 """
 
 from collections.abc import Iterator
@@ -11,13 +12,13 @@
 
 from minicheck import Protocol
 
-from herongap.accord import Commit, Division, Kind, Part, Shares, Terms
-from herongap.accord.ledger import write
-from herongap.accord.shares import divided
+from herongap.accord import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms, Commit
+from herongap.accord.document import encode_document
+from herongap.accord.shares import read_allocation
 
 TTL, LASTS = 2, 2
-TERMS = Terms("one", Kind.HELD, 1, linger=LASTS)
-START = write(Division(1, True, 1, {"0": Part(1, 1, 1, 1)}).body())
+TERMS = BudgetTerms("one", BudgetKind.HELD, 1, linger=LASTS)
+START = encode_document(Allocation(1, True, 1, {"0": Allotment(1, 1, 1, 1)}).to_body())
 
 
 class Store(NamedTuple):
@@ -51,42 +52,44 @@
     boot: int = 0  # which process of its number it is
 
 
-def _on(who: int, k: Kept, now: float, make: type) -> Shares:
+def _on(who: int, k: Kept, now: float, make: type) -> BudgetShare:
     s = make(TERMS, str(who), float(TTL))
-    ledger = s.ledger
-    ledger.revision, ledger.version, data, ledger.out, ledger.doubt, ledger.count = k.ledger
-    ledger._take(data)
-    s._took(now, None)
-    s.until, s.claimed, ledger.life = k.until, k.claimed, max(0, k.claimed)
-    s.lives, s.used, s.ghosts, s.promised = set(k.lives), k.used, k.ghosts, k.promised
-    s.absent = dict(k.absent)
+    ledger = s.document
+    ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count = k.ledger
+    ledger._load(data)
+    s._apply(now, None)
+    s.lease_until, s.incarnation, ledger.incarnation = k.until, k.claimed, max(0, k.claimed)
+    s.incarnations, s.held_count, s.inherited, s.promised_amount = set(k.lives), k.used, k.ghosts, k.promised
+    s.absent_since = dict(k.absent)
     if not s.room(now):
-        s.recent.append(now)  # there is always somebody who wants one more
+        s.rejections.append(now)  # there is always somebody who wants one more
     s.due = now
     return s
 
 
-def _off(s: Shares, data: bytes | None, now: float, boot: int) -> Kept:
-    ledger = s.ledger
-    kept = ledger.revision, ledger.version, data, ledger.out, ledger.doubt, ledger.count
-    ghosts = s.ghosts if s.ghosts[1] > now else (0, -9.0)
-    absent = tuple(sorted(s.absent.items()))
-    lives = tuple(sorted(s.lives))
+def _off(s: BudgetShare, data: bytes | None, now: float, boot: int) -> Kept:
+    ledger = s.document
+    kept = ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count
+    ghosts = s.inherited if s.inherited[1] > now else (0, -9.0)
+    absent = tuple(sorted(s.absent_since.items()))
+    lives = tuple(sorted(s.incarnations))
     # A lease that is over is over, whenever it was.
-    until = s.until if s.until > now else -9.0
-    return Kept(kept, until, s.claimed, lives, s.used, ghosts, s.promised, absent, boot)
+    until = s.lease_until if s.lease_until > now else -9.0
+    return Kept(kept, until, s.incarnation, lives, s.held_count, ghosts, s.promised_amount, absent, boot)
 
 
 def _quick(now: float, store: Store, k: Kept, make: type) -> Kept:
     """The second controller hears at once what the store has, and looks who is there."""
     s = _on(1, k, now, make)
-    s.leased(store.claims[1][0], now + TTL - 0.5, True)
-    s.shown(now, store.revision, store.version, store.data)
-    s._over(now, s.division, {str(w): claim for w, (claim, _) in enumerate(store.claims) if claim})
+    s.update_lease(store.claims[1][0], now + TTL - 0.5, True)
+    s.observe(now, store.revision, store.version, store.data)
+    s._expired_controllers(
+        now, s.allocation, {str(w): claim for w, (claim, _) in enumerate(store.claims) if claim}
+    )
     return _off(s, store.data, now, k.boot)
 
 
-def sharing(seconds: int = 7, commits: int = 2, kills: int = 1, make: type = Shares) -> Protocol:
+def sharing(seconds: int = 7, commits: int = 2, kills: int = 1, make: type = BudgetShare) -> Protocol:
     """The world for so many seconds, with so many commits of each process and so many kills."""
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
@@ -103,7 +106,7 @@
             yield "a second passes", (now + 1, there, left, sky, on, killed)
         for who, k in enumerate(kept):
 
-            def at(s: Shares, data=k.ledger[2], who=who, store=store, sky=sky, things=things) -> tuple:
+            def at(s: BudgetShare, data=k.ledger[2], who=who, store=store, sky=sky, things=things) -> tuple:
                 new = _off(s, data, now, kept[who].boot)
                 there = tuple(new if w == who else o for w, o in enumerate(kept))
                 return now, store, there, sky, things, killed
@@ -116,29 +119,29 @@
             elif not life:
                 claims[who] = (store.revision + 1, now + TTL)
                 there = store._replace(revision=store.revision + 1, claims=tuple(claims))
-                s.leased(store.revision + 1, now + TTL - 0.5, True)
+                s.update_lease(store.revision + 1, now + TTL - 0.5, True)
                 yield f"{who} claims its number", at(s, store=there)
             elif life == k.claimed and k.until < now + TTL - 0.5:
                 claims[who] = (life, now + TTL)
-                s.leased(life, now + TTL - 0.5, True)
+                s.update_lease(life, now + TTL - 0.5, True)
                 yield f"{who} renews its lease", at(s, store=store._replace(claims=tuple(claims)))
             s = _on(who, k, now, make)
             if who == 0 and store.revision > k.ledger[0]:
-                s.shown(now, store.revision, store.version, store.data)
+                s.observe(now, store.revision, store.version, store.data)
                 yield f"{who} reads", at(s, store.data)
                 s = _on(who, k, now, make)
             if s.room(now):
-                s.began(now)
+                s.record_start(now)
                 yield f"{who} begins one", at(s, things=(*things, (who, now + LASTS, k.boot)))
             s = _on(who, k, now, make)
-            if s.ledger.count < commits or s.ledger.out:
+            if s.document.commit_count < commits or s.document.pending:
                 # What is decided on an older document is never taken: it is read first.
-                s.shown(now, store.revision, store.version, store.data)
+                s.observe(now, store.revision, store.version, store.data)
                 live = {str(w): claim for w, (claim, _) in enumerate(store.claims) if claim}
-                commit = s.step(float(now), live)
+                commit = s.next_commit(float(now), live)
                 if commit and not any(f.who == who for f in sky):
                     yield f"{who} commits", at(s, store.data, sky=(*sky, Flight(who, commit)))
-                elif commit is None and s.absent != dict(k.absent):
+                elif commit is None and s.absent_since != dict(k.absent):
                     yield f"{who} looks who is there", at(s, store.data)
             if killed < kills:
                 anew = tuple(Kept(boot=k.boot + 1) if w == who else o for w, o in enumerate(kept))
@@ -146,7 +149,7 @@
         for i, f in enumerate(sky):
             rest = sky[:i] + sky[i + 1 :]
             if f.answer is None:
-                won = f.commit.base == store.version
+                won = f.commit.base_version == store.version
                 there = store
                 if won:
                     new = store.revision + 1
@@ -159,21 +162,21 @@
             for lost in (True, False):
                 s = _on(f.who, kept[f.who], now, make)
                 if lost:
-                    s.unanswered(now, f.commit)
+                    s.handle_unknown_outcome(now, f.commit)
                 else:
-                    s.answered(now, f.commit, *f.answer)
-                data = kept[f.who].ledger[2] if s.ledger.version != f.answer[2] or lost else f.answer[3]
+                    s.handle_reply(now, f.commit, *f.answer)
+                data = kept[f.who].ledger[2] if s.document.version != f.answer[2] or lost else f.answer[3]
                 new = _off(s, data, now, kept[f.who].boot)
                 heard = tuple(new if w == f.who else o for w, o in enumerate(kept))
                 what = "an answer is lost to" if lost else "an answer reaches"
                 yield f"{what} {f.who}", (now, store, heard, rest, things, killed)
 
     def within(state: dict) -> bool:
-        return len(state["things"]) <= TERMS.whole
+        return len(state["things"]) <= TERMS.limit
 
     def summed(state: dict) -> bool:
-        d = divided(state["store"].data)
-        return not d.open or sum(p.amount for p in d.parts.values()) <= d.whole
+        d = read_allocation(state["store"].data)
+        return not d.open or sum(p.amount for p in d.allotments.values()) <= d.limit
 
     store = Store(3, 3, START, ((1, TTL), (2, TTL)))
     first = Kept((3, 3, START, None, False, 0), TTL - 0.5, 1, (1,))
--- a/herongap/fleet/wholes.py
+++ b/herongap/fleet/wholes.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from herongap.accord.shares import divided
+from herongap.accord.shares import read_allocation
 from herongap.fleet.seen import SLACK, Break, Out, Run
 from herongap.ini.parts import WholeTerms
 
@@ -48,7 +48,9 @@
 
 def _bounds(run: Run, name: str) -> list[tuple[float, int]]:
     """The whole from each time on, as the store had it."""
-    told = [(at, divided(value.encode()).whole) for at, n, value in run.budgets if n == name and value]
+    told = [
+        (at, read_allocation(value.encode()).limit) for at, n, value in run.budgets if n == name and value
+    ]
     return [told[i] for i in range(len(told)) if i == 0 or told[i][1] != told[i - 1][1]]
 
 
@@ -106,9 +108,9 @@
     for at, budget, value in run.budgets:
         if budget != name or value is None:
             continue
-        division = divided(value.encode())
-        total = sum(part.amount for part in division.parts.values())
+        division = read_allocation(value.encode())
+        total = sum(part.amount for part in division.allotments.values())
         # After the whole was lowered the sum falls as what was begun ends.
-        if division.open and total > max(division.whole, before):
-            yield run.broken(7, at, f"{name}: parts of {total}, whole {division.whole}")
+        if division.open and total > max(division.limit, before):
+            yield run.broken(7, at, f"{name}: parts of {total}, whole {division.limit}")
         before = total
--- a/herongap/fleet/worlds.py
+++ b/herongap/fleet/worlds.py
@@ -4,8 +4,8 @@
 repeated, fragmented or overtaken by a compaction at any moment. `leasing` is a lease server and two
 controllers that want one number. What moves in them is `herongap.etcd.Follower` and `Membership` themselves:
 each step makes the machine from its state, calls it, and takes the state off again. `settling` is a store
-with one document and two writers, `herongap.accord.Ledger` themselves. `broken` puts a machine with a mistake
-in its place, to see that the mistake is found.
+with one document and two writers, `herongap.accord.SharedDocument` themselves. `broken` puts a machine with
+a mistake in its place, to see that the mistake is found.
 """
 
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 
 from minicheck import Protocol
 
-from herongap.accord import Commit, Ledger, Outcome
+from herongap.accord import Commit, CommitOutcome, SharedDocument
 from herongap.etcd import membership as rules_of_leases
 from herongap.etcd.follower import Follower, Item, Need, Told
 from herongap.etcd.membership import Membership, Step
@@ -325,46 +325,56 @@
     answer: tuple | None = None
 
 
-def settling(commits: int = 2, make: type = Ledger, flights: int = 2) -> Protocol:
+def settling(commits: int = 2, make: type = SharedDocument, flights: int = 2) -> Protocol:
     """Two writers of `commits` each; requests and answers are lost, late and doubled at will."""
 
-    def on(who: int, state: tuple) -> Ledger:
+    def on(who: int, state: tuple) -> SharedDocument:
         ledger = make(str(who), 1)
-        ledger.revision, ledger.version, data, ledger.out, ledger.doubt, ledger.count, _ = state
-        ledger._take(data)
+        ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count, _ = (
+            state
+        )
+        ledger._load(data)
         return ledger
 
-    def off(ledger: Ledger, data: bytes | None, done: int) -> tuple:
-        return ledger.revision, ledger.version, data, ledger.out, ledger.doubt, ledger.count, done
+    def off(ledger: SharedDocument, data: bytes | None, done: int) -> tuple:
+        return (
+            ledger.revision,
+            ledger.version,
+            data,
+            ledger.pending,
+            ledger.uncertain,
+            ledger.commit_count,
+            done,
+        )
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
         shelf, writers, sky = state
         for who, kept in enumerate(writers):
 
-            def put(ledger: Ledger, sky: tuple, told=None, data=kept[2], who=who, kept=kept) -> tuple:
+            def put(ledger: SharedDocument, sky: tuple, told=None, data=kept[2], who=who, kept=kept) -> tuple:
                 there = data if ledger.version != kept[1] or kept[2] is None else kept[2]
-                now = off(ledger, there, kept[6] + (told is Outcome.DONE))
+                now = off(ledger, there, kept[6] + (told is CommitOutcome.COMMITTED))
                 return shelf, tuple(now if i == who else w for i, w in enumerate(writers)), sky
 
             mine = sum(f.who == who for f in sky)
             ledger = on(who, kept)
-            told = ledger.shown(shelf.version, shelf.version, shelf.data)
+            told = ledger.observe(shelf.version, shelf.version, shelf.data)
             yield f"{who} reads", put(ledger, sky, told, shelf.data)
             ledger = on(who, kept)
-            if ledger.out is None and ledger.count < commits and mine < flights:
+            if ledger.pending is None and ledger.commit_count < commits and mine < flights:
                 commit = ledger.propose(sum(shelf.taken))
                 if commit:
                     yield f"{who} commits", put(ledger, (*sky, Flight(who, commit)))
-            elif ledger.out is not None and not ledger.doubt:
-                ledger.unanswered()
+            elif ledger.pending is not None and not ledger.uncertain:
+                ledger.handle_unknown_outcome()
                 yield f"{who} hears nothing", put(ledger, sky)
-            elif (commit := ledger.again()) and mine < flights:
+            elif (commit := ledger.commit_to_resend()) and mine < flights:
                 yield f"{who} sends it again", put(ledger, (*sky, Flight(who, commit)))
         for i, f in enumerate(sky):
             rest = sky[:i] + sky[i + 1 :]
             yield f"what is on its way of {f.who} is lost", (shelf, writers, rest)
             if f.answer is None:
-                won = f.commit.base == shelf.version
+                won = f.commit.base_version == shelf.version
                 taken = tuple(n + (won and w == f.who) for w, n in enumerate(shelf.taken))
                 there = Shelf(shelf.version + 1, f.commit.data, taken) if won else shelf
                 back = f._replace(answer=(there.version, won, there.version, there.data))
@@ -372,10 +382,10 @@
                 yield f"the store meets {f.who}, and a copy goes on", (there, writers, (*sky, back)[:4])
                 continue
             ledger = on(f.who, writers[f.who])
-            told = ledger.answered(f.commit, *f.answer)
+            told = ledger.handle_reply(f.commit, *f.answer)
             kept = writers[f.who]
             data = f.answer[3] if ledger.version == f.answer[2] else kept[2]
-            now = off(ledger, data, kept[6] + (told is Outcome.DONE))
+            now = off(ledger, data, kept[6] + (told is CommitOutcome.COMMITTED))
             yield f"{f.who} hears", (
                 shelf, tuple(now if w == f.who else k for w, k in enumerate(writers)), rest
             )  # fmt: skip
@@ -456,20 +466,20 @@
         self.until = max(self.until, sent + self.ttl - rules_of_leases.MARGIN)
 
 
-class GivesUp(Ledger):
+class GivesUp(SharedDocument):
     """Takes a commit without an answer for one that was not taken."""
 
-    def unanswered(self):
-        self.out, self.doubt = None, False
+    def handle_unknown_outcome(self):
+        self.pending, self.uncertain = None, False
 
 
-class Reads(Ledger):
+class Reads(SharedDocument):
     """Takes a document that still has the version known for a proof that its commit never will be taken."""
 
-    def shown(self, revision, version, data):
-        told = super().shown(revision, version, data)
-        if told is None and self.doubt:
-            self.out, self.doubt = None, False
+    def observe(self, revision, version, data):
+        told = super().observe(revision, version, data)
+        if told is None and self.uncertain:
+            self.pending, self.uncertain = None, False
         return told
 
 
@@ -478,6 +488,6 @@
 
 def broken(mistake: type, ops: int = 3) -> Protocol:
     """The world of a machine with that mistake."""
-    if issubclass(mistake, Ledger):
+    if issubclass(mistake, SharedDocument):
         return settling(ops, mistake)
     return leasing(mistake) if issubclass(mistake, Membership) else following(ops, mistake)
--- a/herongap/gossip/words.py
+++ b/herongap/gossip/messages.py
@@ -14,77 +14,78 @@
 PING, ACK, ASK, HEARD, SYNC = range(5)
 
 
-class Unreadable(Unusable):
+class InvalidDatagram(Unusable):
     """A datagram that is none of ours: cut short, of another version or fleet, or noise."""
 
     advice = "counted and dropped; if they keep coming, see who sends to the [gossip] port"
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True):
+class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
     """What is said of a member: its number, its life (the larger is the newer), how often it has raised its
-    word in that life, and how it stands (see `book.Standing`).
+    word in that life, and how it stands (see `members.MemberStatus`).
     """
 
     number: int
-    life: int
-    raised: int
-    standing: int
+    incarnation: int
+    refutations: int
+    status: int
     host: str
     port: int
     zone: str
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        return self.life, self.raised, self.standing
+    def precedence(self) -> tuple[int, int, int]:
+        return self.incarnation, self.refutations, self.status
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
-    """One datagram. `number` and `life` are the sender's.
+    """One datagram. `sender` and `incarnation` are the sender's.
 
-    PING asks for an ACK of the same `turn`. ASK asks the receiver to ping `about` and to answer HEARD, `good`
-    or not. SYNC carries a part of all that its sender knows, and asks for the receiver's in turn where `good`
-    is not set. `deaf` names members that the sender does not hear directly although they live.
+    PING asks for an ACK of the same `sequence`. ASK asks the receiver to ping `target` and to answer HEARD,
+    `ok` or not. SYNC carries a part of all that its sender knows, and asks for the receiver's in
+    turn where `ok` is not set. `unheard` names members that the sender does not hear directly although they
+    live.
     """
 
     version: int
     fleet: str
     kind: int
-    number: int
-    life: int
-    turn: int
-    about: int = -1
-    good: bool = False
-    deaf: tuple[int, ...] = ()
-    words: tuple[Word, ...] = ()
+    sender: int
+    incarnation: int
+    sequence: int
+    target: int = -1
+    ok: bool = False
+    unheard: tuple[int, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
-def fitted(datagram: Datagram) -> tuple[bytes, tuple[Word, ...]]:
+def encode_fitting(datagram: Datagram) -> tuple[bytes, tuple[MemberRecord, ...]]:
     """The bytes of a datagram with as many of its words as fit, and those words."""
     data = _encode(datagram)
     while len(data) > MOST:
-        fewer = min(len(datagram.words) * MOST // len(data), len(datagram.words) - 1)
-        datagram = msgspec.structs.replace(datagram, words=datagram.words[:fewer])
+        fewer = min(len(datagram.records) * MOST // len(data), len(datagram.records) - 1)
+        datagram = msgspec.structs.replace(datagram, records=datagram.records[:fewer])
         data = _encode(datagram)
-    return data, datagram.words
+    return data, datagram.records
 
 
-def write(datagram: Datagram) -> bytes:
+def encode(datagram: Datagram) -> bytes:
     """The bytes of a datagram, with as many of its words as fit."""
-    return fitted(datagram)[0]
+    return encode_fitting(datagram)[0]
 
 
-def read(data: bytes, fleet: str) -> Datagram:
-    """The datagram in these bytes; raises Unreadable."""
+def decode(data: bytes, fleet: str) -> Datagram:
+    """The datagram in these bytes; raises InvalidDatagram."""
     if len(data) > MOST:
-        raise Unreadable(f"{len(data)} bytes")
+        raise InvalidDatagram(f"{len(data)} bytes")
     try:
         found = _decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as fault:
-        raise Unreadable(str(fault)[:120]) from fault
+        raise InvalidDatagram(str(fault)[:120]) from fault
     if found.version != VERSION or found.fleet != fleet or not PING <= found.kind <= SYNC:
-        raise Unreadable(f"version {found.version}, fleet {found.fleet!r:.40}, kind {found.kind}")
+        raise InvalidDatagram(f"version {found.version}, fleet {found.fleet!r:.40}, kind {found.kind}")
     return found
--- a/herongap/rehearsal/datagrams.py
+++ b/herongap/rehearsal/datagrams.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from herongap.gossip import Unreadable, read
+from herongap.gossip import InvalidDatagram, decode
 
 Pair = tuple[int, int]
 
@@ -72,8 +72,8 @@
             except OSError:
                 return
             try:
-                way = self.ways.get((read(data, self.fleet).number, number), Way())
-            except Unreadable:
+                way = self.ways.get((decode(data, self.fleet).sender, number), Way())
+            except InvalidDatagram:
                 way = Way()  # noise is carried as it is
             if self.draw.random() < way.lost:
                 self.seen["lost"] += 1
--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -14,7 +14,7 @@
 import gevent
 from gevent import subprocess as green
 
-from herongap.accord.shares import with_whole
+from herongap.accord.shares import with_limit
 from herongap.daemon.wire import Address
 from herongap.fleet.day import (
     MEMBERS,
@@ -146,7 +146,7 @@
                 fill(self.etcd.history, PREFIX, {name: self._value(name) for name in self.places})
                 for name, whole in self.day.wholes.items():
                     # As an operator makes it. Made by a controller it is counted first: a linger passes.
-                    made = with_whole(None, whole.whole, unused=True)
+                    made = with_limit(None, whole.whole, unused=True)
                     self.etcd.history.put(f"{PREFIX}budgets/{name}".encode(), made)
                 self._log_list()
             else:
@@ -305,7 +305,7 @@
         key = f"{PREFIX}budgets/{name}".encode()
         there = self.etcd.history.now_at.get(key)
         if there:
-            self.etcd.history.put(key, with_whole(there["value"], whole))
+            self.etcd.history.put(key, with_limit(there["value"], whole))
 
     def _log_list(self) -> None:
         self.log("stage", "listed", gone=self.listing.gone(), by=self.day.size.list_by)
--- a/herongap/state/__init__.py
+++ b/herongap/state/__init__.py
@@ -3,7 +3,17 @@
 Decides without I/O; the store and the calls to streamers are the daemon's.
 """
 
-from herongap.state.recovery import Fate, Found, Kept, Known, reconcile
-from herongap.state.seats import Refused, Seat, Seats, Terms
+from herongap.state.recovery import JournaledViewing, RecoveryAction, StreamerSession, ViewingStage, reconcile
+from herongap.state.seats import Seat, SeatRegistry, SeatRejection, SeatTerms
 
-__all__ = ["Fate", "Found", "Kept", "Known", "Refused", "Seat", "Seats", "Terms", "reconcile"]
+__all__ = [
+    "RecoveryAction",
+    "StreamerSession",
+    "JournaledViewing",
+    "ViewingStage",
+    "SeatRejection",
+    "Seat",
+    "SeatRegistry",
+    "SeatTerms",
+    "reconcile",
+]
--- a/herongap/state/recovery.py
+++ b/herongap/state/recovery.py
@@ -13,7 +13,7 @@
 Id = int | str
 
 
-class Known(Enum):
+class ViewingStage(Enum):
     """How far a viewing had got when it was kept last."""
 
     SENT = "sent"  # its tune-in was about to leave; its viewer has no answer
@@ -21,18 +21,18 @@
     CLOSING = "closing"  # its end was about to be told to its streamer
 
 
-class Kept(NamedTuple):
+class JournaledViewing(NamedTuple):
     """A viewing as the store has it."""
 
     viewing: Id
     number: int
     streamer: Id
-    known: Known
+    stage: ViewingStage
     rung: int
     value: float = 1.0
 
 
-class Found(NamedTuple):
+class StreamerSession(NamedTuple):
     """A session that a streamer holds for this controller, by the name that its set-up carried."""
 
     viewing: Id
@@ -40,16 +40,16 @@
     rung: int
 
 
-class Fate(Enum):
+class RecoveryAction(Enum):
     ADOPT = "adopt"  # it plays on, and is controlled again
     END = "end"  # it is ended at its streamer: nobody has it, or it was ending
-    GONE = "gone"  # it is over; its seat and load are free
+    RELEASE = "gone"  # it is over; its seat and load are free
     WAIT = "wait"  # its streamer has not said: its seat counts, nothing is sent there for it
 
 
 def reconcile(
-    kept: Iterable[Kept], found: Mapping[Id, Iterable[Found] | None]
-) -> list[tuple[Fate, Id, Kept | Found]]:
+    kept: Iterable[JournaledViewing], found: Mapping[Id, Iterable[StreamerSession] | None]
+) -> list[tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]]:
     """The fate of all that is kept or found: (fate, streamer, viewing), in the order in which it is to be
     done.
 
@@ -61,28 +61,28 @@
         for streamer, all_of_them in found.items()
         for f in all_of_them or ()
     }
-    fates: list[tuple[Fate, Id, Kept | Found]] = []
+    fates: list[tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]] = []
     for k in kept:
         session = held.pop((k.streamer, k.viewing, k.number), None)
         if found.get(k.streamer) is None:
-            fates.append((Fate.WAIT, k.streamer, k))
+            fates.append((RecoveryAction.WAIT, k.streamer, k))
         elif session is None:
-            fates.append((Fate.GONE, k.streamer, k))
-        elif k.known is Known.PLAYING:
-            fates.append((Fate.ADOPT, k.streamer, k))
+            fates.append((RecoveryAction.RELEASE, k.streamer, k))
+        elif k.stage is ViewingStage.PLAYING:
+            fates.append((RecoveryAction.ADOPT, k.streamer, k))
         else:
             # Sent, and it runs: its viewer's connection ended with the old process, nobody has its answer.
-            fates.append((Fate.END, k.streamer, k))
-    fates += [(Fate.END, streamer, f) for (streamer, _, _), f in held.items()]
+            fates.append((RecoveryAction.END, k.streamer, k))
+    fates += [(RecoveryAction.END, streamer, f) for (streamer, _, _), f in held.items()]
     return sorted(fates, key=_order)
 
 
-def _order(fate: tuple[Fate, Id, Kept | Found]) -> tuple:
+def _order(fate: tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]) -> tuple:
     """What plays first, the dearest before others; then what only takes up room."""
     what, streamer, viewing = fate
-    value = viewing.value if isinstance(viewing, Kept) else 0.0
+    value = viewing.value if isinstance(viewing, JournaledViewing) else 0.0
     return (
-        [Fate.ADOPT, Fate.GONE, Fate.END, Fate.WAIT].index(what),
+        [RecoveryAction.ADOPT, RecoveryAction.RELEASE, RecoveryAction.END, RecoveryAction.WAIT].index(what),
         -value,
         str(streamer),
     )
--- a/herongap/state/seats.py
+++ b/herongap/state/seats.py
@@ -12,18 +12,19 @@
 Id = int | str
 
 
-class Terms(NamedTuple):
-    """`seats` of one title and package, each lasting `lasts` seconds unless renewed.
+class SeatTerms(NamedTuple):
+    """`capacity` of one title and package, each lasting `lease_seconds` seconds unless renewed.
 
-    `moves`: an editor who comes from a second device takes the seat along; else the second device is refused.
+    `transferable`: an editor who comes from a second device takes the seat along; else the second device
+    is refused.
     """
 
-    seats: int
-    lasts: float
-    moves: bool = True
+    capacity: int
+    lease_seconds: float
+    transferable: bool = True
 
 
-class Refused(Enum):
+class SeatRejection(Enum):
     FULL = "full"  # all seats are taken
     HELD = "held"  # this editor holds one on another device
     STALE = "stale"  # the token is older than the seat, or its seat is gone
@@ -39,16 +40,16 @@
     until: float
 
 
-class Seats:
+class SeatRegistry:
     """All seats of one controller. `fence` is the last number given; after a restart it must not be lower
     than any that was given before, so it is kept before a grant is told to anybody.
     """
 
-    def __init__(self, terms: dict[Id, Terms], fence: int = 0):
+    def __init__(self, terms: dict[Id, SeatTerms], fence: int = 0):
         self.terms, self.fence = terms, fence
         self.held: dict[tuple[Id, Id], dict[Id, Seat]] = {}
 
-    def grant(self, now: float, title: Id, package: Id, editor: Id, device: Id) -> Seat | Refused:
+    def grant(self, now: float, title: Id, package: Id, editor: Id, device: Id) -> Seat | SeatRejection:
         """A seat for an editor's device; the same one where that device has it already, however often it
         asks.
         """
@@ -58,24 +59,24 @@
         mine = seats.get(editor)
         if mine and mine.device == device:
             return mine
-        if mine and not terms.moves:
-            return Refused.HELD
-        if not mine and len(seats) >= terms.seats:
+        if mine and not terms.transferable:
+            return SeatRejection.HELD
+        if not mine and len(seats) >= terms.capacity:
             if not seats:
                 del self.held[pool]
-            return Refused.FULL
+            return SeatRejection.FULL
         # A seat that moves gets a new number: what the first device still sends is stale from now on.
         self.fence += 1
-        seat = seats[editor] = Seat(pool, editor, device, self.fence, now + terms.lasts)
+        seat = seats[editor] = Seat(pool, editor, device, self.fence, now + terms.lease_seconds)
         return seat
 
-    def renew(self, now: float, seat: Seat) -> Seat | Refused:
+    def renew(self, now: float, seat: Seat) -> Seat | SeatRejection:
         """The seat for another while. One that has ended is not brought back: another may have it by now."""
         self.expire(now)
         there = self.held.get(seat.pool, {}).get(seat.editor)
         if there is None or there.fence != seat.fence:
-            return Refused.STALE
-        kept = there._replace(until=now + self.terms[seat.pool[1]].lasts)
+            return SeatRejection.STALE
+        kept = there._replace(until=now + self.terms[seat.pool[1]].lease_seconds)
         self.held[seat.pool][seat.editor] = kept
         return kept
 
@@ -95,7 +96,7 @@
             self._drop(seat)
         return over
 
-    def restored(self, now: float, seats: list[Seat], away: float) -> list[Seat]:
+    def restore(self, now: float, seats: list[Seat], away: float) -> list[Seat]:
         """Take up what was kept, `away` seconds after it was; those that have ended meanwhile are given back.
 
         `until` of what is kept is in seconds from the moment it was kept, for the host's clock begins anew
--- a/tests/members.py
+++ b/tests/members.py
@@ -19,7 +19,7 @@
 import sys
 from functools import partial
 from herongap.daemon import gossip
-gossip.Terms = partial(gossip.Terms, notices=False)
+gossip.GossipConfig = partial(gossip.GossipConfig, detects_pauses=False)
 from herongap.rehearsal.controller import main
 main(*sys.argv[1:])
 """
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -16,9 +16,9 @@
 from test_host import Port
 from test_parts import site
 
-from herongap.accord import Division, Kind, Part, Shares, Tally, Terms
-from herongap.accord.ledger import write
-from herongap.accord.shares import divided
+from herongap.accord import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms, UsageCounter
+from herongap.accord.document import encode_document
+from herongap.accord.shares import read_allocation
 from herongap.cli import main
 from herongap.daemon.budgets import terms
 from herongap.daemon.wire import call_once
@@ -61,8 +61,8 @@
     )
     all_ = [terms(name, whole) for name, whole in made.wholes.items()]
     assert all_ == [
-        Terms("seats", Kind.HELD, 40, linger=8.0),
-        Terms("further", Kind.RATE, 6, window=2.0, keep=False),
+        BudgetTerms("seats", BudgetKind.HELD, 40, linger=8.0),
+        BudgetTerms("further", BudgetKind.RATE, 6, window=2.0, keep_without_store=False),
     ]
 
 
@@ -198,62 +198,64 @@
 
 
 def tallied(amount=4, linger=8.0):
-    held = Terms("held", Kind.HELD, 12, linger=linger)
-    rate = Terms("rate", Kind.RATE, 12, window=2.0)
-    shares = {t.name: Shares(t, "1", 5.0) for t in (held, rate)}
+    held = BudgetTerms("held", BudgetKind.HELD, 12, linger=linger)
+    rate = BudgetTerms("rate", BudgetKind.RATE, 12, window=2.0)
+    shares = {t.name: BudgetShare(t, "1", 5.0) for t in (held, rate)}
     for s in shares.values():
-        s.leased(5, 100.0, True)
-        s.shown(0.0, 10, 10, write(Division(12, True, 1, {"1": Part(amount, 1, 5, 1)}).body()))
-    return Tally(shares)
+        s.update_lease(5, 100.0, True)
+        s.observe(
+            0.0, 10, 10, encode_document(Allocation(12, True, 1, {"1": Allotment(amount, 1, 5, 1)}).to_body())
+        )
+    return UsageCounter(shares)
 
 
 def test_one_room_is_not_used_by_two_decisions_and_counts_until_it_is_over():
     t = tallied()
-    assert dict(t.rooms(0.0)) == {"held": 4, "rate": 4} and not dict(t.rooms(0.0))
+    assert dict(t.room_changes(0.0)) == {"held": 4, "rate": 4} and not dict(t.room_changes(0.0))
     t.reserve(0.0, ("a", 0), ("held", "rate"))
-    assert not dict(t.rooms(0.0)), "the module has taken it off already"
-    assert t.shares["held"].room(0.0) == 3 and t.leaves(0.1, ("a", 0)) and t.shares["held"].room(0.1) == 3
-    t.over(1.0, ("a", 0))
-    t.over(1.0, ("a", 0))
-    assert dict(t.rooms(1.0)) == {"held": 4}, "the rate counts for its window and a tenth more"
-    assert not dict(t.rooms(2.2)) and dict(t.rooms(2.31)) == {"rate": 4}
+    assert not dict(t.room_changes(0.0)), "the module has taken it off already"
+    assert t.shares["held"].room(0.0) == 3 and t.try_start(0.1, ("a", 0)) and t.shares["held"].room(0.1) == 3
+    t.finish(1.0, ("a", 0))
+    t.finish(1.0, ("a", 0))
+    assert dict(t.room_changes(1.0)) == {"held": 4}, "the rate counts for its window and a tenth more"
+    assert not dict(t.room_changes(2.2)) and dict(t.room_changes(2.31)) == {"rate": 4}
 
 
 def test_what_was_decided_under_a_part_that_is_gone_does_not_leave():
     t = tallied()
     t.reserve(0.0, ("a", 0), ("held",))
     t.reserve(0.0, ("b", 0), ("held",))
-    assert t.leaves(0.1, ("a", 0))
-    assert not t.leaves(100.0, ("b", 0)), "stopped meanwhile, for longer than its lease"
-    assert t.shares["held"].use(100.0) == 1 and not t.pending
+    assert t.try_start(0.1, ("a", 0))
+    assert not t.try_start(100.0, ("b", 0)), "stopped meanwhile, for longer than its lease"
+    assert t.shares["held"].usage(100.0) == 1 and not t.pending
 
 
 def test_what_nobody_will_hear_of_counts_for_as_long_as_it_may_last():
     t = tallied()
     t.reserve(0.0, ("a", 0), ("held",))
-    t.leaves(0.0, ("a", 0))
-    t.lost(1.0, ("a", 0))
-    dict(t.rooms(1.0))
-    assert t.shares["held"].room(9.7) == 3 and not dict(t.rooms(9.7))
-    assert dict(t.rooms(9.81)) == {"held": 4}
+    t.try_start(0.0, ("a", 0))
+    t.mark_uncertain(1.0, ("a", 0))
+    dict(t.room_changes(1.0))
+    assert t.shares["held"].room(9.7) == 3 and not dict(t.room_changes(9.7))
+    assert dict(t.room_changes(9.81)) == {"held": 4}
 
 
 def test_what_must_end_is_told_without_what_nobody_can_end():
     t = tallied(linger=1.0)
     for name in "abc":
         t.reserve(0.0, (name, 0), ("held",))
-        t.leaves(0.0, (name, 0))
-    t.lost(100.0, ("c", 0))
-    t.shares["held"].leased(5, 100.0, False)
-    assert dict(t.rooms(100.9))["held"] == 0
-    assert dict(t.rooms(101.0))["held"] == -2
+        t.try_start(0.0, (name, 0))
+    t.mark_uncertain(100.0, ("c", 0))
+    t.shares["held"].update_lease(5, 100.0, False)
+    assert dict(t.room_changes(100.9))["held"] == 0
+    assert dict(t.room_changes(101.0))["held"] == -2
 
 
 def test_what_an_earlier_process_began_and_is_held_on_counts():
     t = tallied()
-    dict(t.rooms(0.0))
-    t.adopted(0.0, ("a", 3), ("held",))
-    assert not dict(t.rooms(0.0)) and t.shares["held"].room(0.0) == 3
+    dict(t.room_changes(0.0))
+    t.adopt(0.0, ("a", 3), ("held",))
+    assert not dict(t.room_changes(0.0)) and t.shares["held"].room(0.0) == 3
 
 
 # The network between a controller and the store.
@@ -341,7 +343,7 @@
     out = [(claim[0], "etcd", "controllers", {"name": "0", "value": json.dumps({"name": FRONT})})]
     out.append((claim[1], "etcd", "controllers", {"name": "0", "value": None}))
     for at, d in documents:
-        out.append((at, "etcd", "budgets", {"name": "held", "value": write(d.body()).decode()}))
+        out.append((at, "etcd", "budgets", {"name": "held", "value": encode_document(d.to_body()).decode()}))
     for i, (begin, end) in enumerate(things):
         of = {"identity": f"i{i}"}
         out.append((begin, f"v{i}", "wants", {"package": "standard"}))
@@ -372,7 +374,7 @@
 
 def test_a_lowered_whole_binds_when_nobody_can_have_missed_it(tmp_path):
     def day(at):
-        documents = [(0.0, Division(2, True, 1, {})), (1.0, Division(1, True, 1, {}))]
+        documents = [(0.0, Allocation(2, True, 1, {})), (1.0, Allocation(1, True, 1, {}))]
         return sevenths(tmp_path, (at, at + 1), (at + 0.5, at + 0.9), documents=documents)
 
     assert day(6.0) == []  # the lease of who is cut off lasts 6 s
@@ -395,7 +397,7 @@
 
 def test_the_checker_reads_the_parts_of_every_revision(tmp_path):
     def parts(*amounts, whole=2, open_=True):
-        return Division(whole, open_, 1, {str(i): Part(a, a, 1, 1) for i, a in enumerate(amounts)})
+        return Allocation(whole, open_, 1, {str(i): Allotment(a, a, 1, 1) for i, a in enumerate(amounts)})
 
     assert sevenths(tmp_path, documents=[(1.0, parts(1, 1)), (2.0, parts(1, 1, whole=1))]) == []
     assert sevenths(tmp_path, documents=[(1.0, parts(2, 2, open_=False))]) == []
@@ -415,7 +417,7 @@
         key = f"{PREFIX}budgets/seats".encode()
 
         def there():
-            return divided(etcd.history.now_at[key]["value"])
+            return read_allocation(etcd.history.now_at[key]["value"])
 
         def gone(*words):
             # The command blocks: it runs on a thread, the stand-in here.
@@ -424,11 +426,11 @@
         assert gone("set", str(file), "seats", "40").exit_code == 0 and not there().open
         etcd.history.delete(key)
         assert gone("set", str(file), "seats", "40", "--unused").exit_code == 0
-        assert there() == Division(40, True, 1, {})
-        parts = {"0": Part(30, 3, 5, 1), "1": Part(10, 1, 6, 1)}
-        etcd.history.put(key, write(there()._replace(parts=parts).body(), {"0": "5.1"}))
+        assert there() == Allocation(40, True, 1, {})
+        parts = {"0": Allotment(30, 3, 5, 1), "1": Allotment(10, 1, 6, 1)}
+        etcd.history.put(key, encode_document(there()._replace(allotments=parts).to_body(), {"0": "5.1"}))
         assert gone("set", str(file), "seats", "20").exit_code == 0
-        assert there().free == -20 and there().parts == parts
+        assert there().free == -20 and there().allotments == parts
         assert json.loads(etcd.history.now_at[key]["value"])["marks"] == {"0": "5.1"}
         shown = gone("show", str(file))
         assert shown.exit_code == 0 and "seats: whole 20, free -20" in shown.output
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -13,10 +13,9 @@
 from minicheck import check_liveness, check_safety
 from test_rehearsal import DAY
 
-from herongap.accord import Division, Kind
-from herongap.accord import Terms as Whole
-from herongap.accord.ledger import write
-from herongap.accord.shares import divided
+from herongap.accord import Allocation, BudgetKind, BudgetTerms
+from herongap.accord.document import encode_document
+from herongap.accord.shares import read_allocation
 from herongap.cli import main
 from herongap.daemon.etcd import Feed
 from herongap.daemon.remembered import Remembered
@@ -685,38 +684,38 @@
 
 
 def test_a_whole_is_divided_over_the_store_though_answers_are_lost_and_one_dies():
-    whole = Whole("seats", Kind.HELD, 12, floor=1, linger=0.5)
+    whole = BudgetTerms("seats", BudgetKind.HELD, 12, floor=1, linger=0.5)
     with cluster(2) as etcd:
         key = f"{PREFIX}budgets/seats"
-        etcd.history.put(key.encode(), write(Division(12, True, 1, {}).body()))
+        etcd.history.put(key.encode(), encode_document(Allocation(12, True, 1, {}).to_body()))
         all_ = [Watcher(etcd, n, (whole,)) for n in range(3)]
         shares = [w.feed.budgets.shares["seats"] for w in all_]
 
         def parts():
-            return divided(etcd.history.now_at[key.encode()]["value"]).parts
+            return read_allocation(etcd.history.now_at[key.encode()]["value"]).allotments
 
         until(lambda: len(parts()) == 3 and sum(p.amount for p in parts().values()) >= 10, 20.0)
         until(lambda: all(s.room(time.monotonic()) > 0 for s in shares), 20.0)
         for _ in range(3):
-            shares[0].began(time.monotonic())
+            shares[0].record_start(time.monotonic())
         # Answers come too late to be heard, while one is short and the others give back.
         for member in etcd.members:
             member.withhold = 0.6
         for _ in range(8):
-            shares[0].refused(time.monotonic())
+            shares[0].record_rejection(time.monotonic())
         until(lambda: sum(w.feed.budgets.unknown for w in all_) > 0, 20.0)
         for member in etcd.members:
             member.withhold = 0.0
-        until(lambda: not any(s.ledger.doubt for s in shares), 20.0)
+        until(lambda: not any(s.document.uncertain for s in shares), 20.0)
         # One dies: its part is handed on when its lease is over and what it held has lingered.
         dead = parts()["2"]
         gevent.killall(all_[2].running)
         at = time.monotonic()
         until(lambda: "2" not in parts(), 30.0)
-        assert time.monotonic() - at > whole.outlasts and dead.amount > 0
+        assert time.monotonic() - at > whole.grace_period and dead.amount > 0
 
         def short() -> bool:
-            shares[0].refused(time.monotonic())
+            shares[0].record_rejection(time.monotonic())
             return parts()["0"].amount >= 8
 
         until(short, 20.0)  # who runs short has what the dead one had
@@ -724,7 +723,7 @@
         all_[1].feed.budgets.leave()
         until(lambda: all_[1].feed.budgets.left and "1" not in parts(), 20.0)
         for _, _, value in [e for e in etcd.history.events if e[1] == key.encode()]:
-            d = divided(value["value"])
-            assert sum(p.amount for p in d.parts.values()) <= d.whole
+            d = read_allocation(value["value"])
+            assert sum(p.amount for p in d.allotments.values()) <= d.limit
         for w in all_:
             w.close()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -89,7 +89,7 @@
 sys.path[:0] = [{tests!r}]
 from test_accord import {name}
 from herongap.daemon import budgets
-budgets.Shares = {name}
+budgets.BudgetShare = {name}
 from herongap.rehearsal.controller import main
 main(*sys.argv[1:])
 """
@@ -106,7 +106,7 @@
     return play(read_day(folder / "day.ini"), folder, 1, actors=Processes)
 
 
-@pytest.mark.parametrize("mistake", [None, "ActsFirst"])
+@pytest.mark.parametrize("mistake", [None, "IgnoresLeaseAfterPause"])
 def test_a_whole_holds_while_processes_and_the_way_to_the_store_fail(tmp_path, mistake):
     outcome = played(tmp_path, mistake)
     found = check(outcome)
