--- a/herongap/gossip/__init__.py
+++ b/herongap/gossip/__init__.py
@@ -1,17 +1,20 @@
-"""Who lives, who hears whom, and how words spread. No I/O; it informs, and never grants a right."""
+"""Membership by gossip: which controllers are alive and which of them hear each other. No I/O.
+
+The result is advisory: it never grants a right.
+"""
 
 from herongap.gossip.gossip import Gossip, GossipConfig
 from herongap.gossip.members import MemberStatus, MemberTable
 from herongap.gossip.messages import Datagram, InvalidDatagram, MemberRecord, decode, encode
 
 __all__ = [
-    "MemberTable",
     "Datagram",
     "Gossip",
-    "MemberStatus",
     "GossipConfig",
     "InvalidDatagram",
     "MemberRecord",
+    "MemberStatus",
+    "MemberTable",
     "decode",
     "encode",
 ]
--- a/herongap/gossip/gossip.py
+++ b/herongap/gossip/gossip.py
@@ -1,10 +1,12 @@
-"""Membership by gossip: probes, probes through others, suspicion, and words that ride on them. No I/O.
+"""Membership by gossip: probes, indirect probes, suspicion, and member records that ride on them. No I/O.
 
-SWIM (Das et al. 2002) with Lifeguard's patience (Dadgar et al. 2017). Ours beside them: who was stopped
-judges nobody before it has asked (`_noticed`); and each says whom it does not hear directly, so that a pair
-that hears one way only is a state of the pair, never a death.
+SWIM (Das et al. 2002) with the adaptive timeouts of Lifeguard (Dadgar et al. 2017). Two additions: a process
+that was suspended declares no member gone before it has caught up with another member (`_detect_pause`); and
+each member reports whom it does not hear directly, so that a link that works one way only is a state of that
+pair and never counts as a failure of a member.
 
-`tick` and `heard` give the datagrams to send, as (address, bytes). Times are the caller's clock, in seconds.
+`tick` and `receive` return the datagrams to send, as (address, bytes). Times are by the caller's clock, in
+seconds.
 """
 
 from math import log10
@@ -14,218 +16,246 @@
 import msgspec
 
 from herongap.errors import Misuse
-from herongap.gossip import messages as w
+from herongap.gossip import messages
 from herongap.gossip.members import MemberStatus, MemberTable
 from herongap.gossip.messages import Datagram, InvalidDatagram, MemberRecord
 
 Address = tuple[str, int]
-Out = list[tuple[Address, bytes]]
-DEAF = 3.0  # rounds without a direct answer after which a member that lives counts as not heard
-MOST_DEAF = 32  # names in one datagram
-AGAIN = 4  # members that ask one who is doubted, each round, on the mean
+OutgoingDatagrams = list[tuple[Address, bytes]]
+UNHEARD_ROUNDS = 3.0  # rounds without a direct answer after which a live member counts as not heard
+UNHEARD_REPORT_SYNCS = 3  # sync intervals for which a report of not being heard stays valid
+MAX_UNHEARD_REPORTED = 32  # members in one datagram
+PROBERS_PER_SUSPECT = 4  # members that ping a suspected member in each round, on average
+PROBE_DEADLINE_FACTOR = 3  # of the acknowledgement timeout, for indirect probes to answer
+LEAVE_FANOUT = 5  # members that are notified directly when this one leaves
+RECORDS_PER_SYNC = 24
 COUNTS = ("sent", "bytes", "unreadable", "paused", "suspected", "gone", "refuted")
-ANSWER = 0  # what a SYNC is about that answers one
+SYNC_REPLY = 0  # target of a SYNC that replies to another
 
 
 class GossipConfig(NamedTuple):
-    """How one controller asks. Seconds where not said otherwise."""
+    """The timing of one controller's probes, in seconds unless stated otherwise."""
 
-    probe_interval: float = 0.5  # between two probes of its own
+    probe_interval: float = 0.5
     ack_timeout: float = 0.2  # for a direct answer
-    indirect_probes: int = 3  # members asked where that stays out
-    suspicion_rounds: float = 3.0  # least rounds of suspicion, times log10 of the members
-    max_suspicion_factor: float = 2.0  # times that, where nobody else suspects
-    confirmations: int = 3  # others whose suspicion shortens it to the least
-    max_health: int = 8  # most that a slow one stretches its own times by
-    pause_threshold: float = 0.5  # late by more than this to its own times, a process was stopped
+    indirect_probes: int = 3  # members asked to ping a member that does not answer directly
+    suspicion_rounds: float = 3.0  # shortest suspicion in probe intervals, times log10 of the members
+    max_suspicion_factor: float = 2.0  # longest suspicion, without confirmations, over the shortest
+    confirmations: int = 3  # other suspecting members that shorten a suspicion to the shortest
+    max_health: int = 8  # upper limit of the score by which a slow member stretches its own timeouts
+    pause_threshold: float = 0.5  # a process that runs later than this after its due time was suspended
     catch_up_timeout: float = (
-        10.0  # for which one that was stopped waits for an answer, at most, before it judges
+        10.0  # longest wait for an answer after a pause before members are declared gone
     )
-    sync_interval: float = 10.0  # between two full exchanges
-    detects_pauses: bool = True  # False: plain SWIM, which judges right after a pause
+    sync_interval: float = 10.0  # between two exchanges of the full member table
+    detects_pauses: bool = True  # False: plain SWIM, which may declare members gone right after a pause
 
 
 class Probe:
-    """A probe of ours that is out."""
+    """A probe in flight. `helpers` is the number of members asked for an indirect probe, -1 if none."""
 
-    __slots__ = ("number", "incarnation", "turn", "due", "until", "asked", "answers")
+    __slots__ = ("number", "incarnation", "sequence", "due", "until", "helpers", "answers")
 
-    def __init__(self, word: MemberRecord, turn: int, due: float, until: float):
-        self.number, self.incarnation, self.turn = word.number, word.incarnation, turn
-        self.due, self.until, self.asked, self.answers = due, until, 0, 0
+    def __init__(self, record: MemberRecord, sequence: int, due: float, until: float):
+        self.number, self.incarnation, self.sequence = record.number, record.incarnation, sequence
+        self.due, self.until, self.helpers, self.answers = due, until, 0, 0
 
 
-class Doubt:
-    """A suspicion that is held here of one member's word; `by` names who else holds it."""
+class Suspicion:
+    """A local suspicion of one member's record. `confirmed_by` holds the other members that suspect it."""
 
-    __slots__ = ("word", "since", "least", "most", "by")
+    __slots__ = ("record", "since", "shortest", "longest", "confirmed_by")
 
-    def __init__(self, word: MemberRecord, since: float, least: float, most: float):
-        self.word, self.since, self.least, self.most, self.by = word, since, least, most, set()
+    def __init__(self, record: MemberRecord, since: float, shortest: float, longest: float):
+        self.record, self.since, self.shortest, self.longest, self.confirmed_by = (
+            record, since, shortest, longest, set(),
+        )  # fmt: skip
 
-    def until(self, confirms: int) -> float:
-        """Lifeguard: the more others suspect, the nearer to the least."""
-        part = min(1.0, log10(len(self.by) + 1) / log10(confirms + 1)) if confirms else 1.0
-        return self.since + self.most - (self.most - self.least) * part
+    def until(self, confirmations: int) -> float:
+        """The end of the suspicion; as in Lifeguard, confirmations move it towards the shortest duration."""
+        part = (
+            min(1.0, log10(len(self.confirmed_by) + 1) / log10(confirmations + 1)) if confirmations else 1.0
+        )
+        return self.since + self.longest - (self.longest - self.shortest) * part
 
 
 class Gossip:
-    """One controller. `me` is its word at its start, `fleet` the name that keeps two fleets apart."""
+    """The protocol state of one controller.
+
+    `own` is its record at the start, `fleet` the name that separates fleets sharing a network.
+    """
 
-    def __init__(self, now: float, me: MemberRecord, fleet: str, config: GossipConfig, seed: int):
-        if me.status != MemberStatus.ALIVE:
-            raise Misuse(f"a member begins alive, not {me.status}")
+    def __init__(self, now: float, own: MemberRecord, fleet: str, config: GossipConfig, seed: int):
+        if own.status != MemberStatus.ALIVE:
+            raise Misuse(f"a member must start with status ALIVE, not {own.status}")
         self.fleet, self.config, self.random = fleet, config, Random(seed)
-        self.members = MemberTable(me)
+        self.members = MemberTable(own)
         self.seeds: list[Address] = []
-        self.heard_at: dict[int, float] = {}  # when a member was last heard directly
-        self.deaf_to_me: dict[int, float] = {}  # who says that it does not hear us, and when
-        self.doubts: dict[int, Doubt] = {}
+        self.last_heard: dict[int, float] = {}  # when each member was last heard directly
+        self.unheard_reports: dict[int, float] = {}  # members that report not hearing us, and when they did
+        self.suspicions: dict[int, Suspicion] = {}
         self.probes: dict[int, Probe] = {}
-        self.errands: dict[int, tuple[Address, int, int, float]] = {}  # probes for others, by our turn
-        self.health, self.turn, self.round = 0, 0, []
-        self.asking = now  # until when one that was stopped, or has just come, judges nobody
-        self.last, self.next_probe, self.next_sync = now, now, now
+        # Probes on behalf of others, by our sequence: requester, its sequence, target, deadline.
+        self.relayed_probes: dict[int, tuple[Address, int, int, float]] = {}
+        self.health, self.sequence, self.probe_order = 0, 0, []
+        self.catching_up_until = now  # after a pause or the start no member is declared gone before this
+        self.last_run, self.next_probe, self.next_sync = now, now, now
         self.counts = dict.fromkeys(COUNTS, 0)
 
-    # What is asked of it.
+    # Queries and commands.
 
     @property
     def due(self) -> float:
         """When `tick` is to be called next, at the latest."""
         times = [self.next_probe, self.next_sync]
-        times += [p.due if not p.asked else p.until for p in self.probes.values()]
-        times += [max(self.asking, d.until(self.config.confirmations)) for d in self.doubts.values()]
+        times += [p.due if not p.helpers else p.until for p in self.probes.values()]
+        times += [
+            max(self.catching_up_until, s.until(self.config.confirmations)) for s in self.suspicions.values()
+        ]
         return min(times)
 
     def set_seeds(self, addresses: list[Address]) -> None:
-        """Where others may be found: from a file, or the store's directory."""
+        """Set the addresses of possible members, from a file or the store's directory."""
         self.seeds = list(addresses)
 
     def controller_count(self, store: int, ranked: bool) -> int:
-        """How many divide the room, for the module: what the store said last; while it gives us no rank, more
-        where more are seen here. Never fewer: who is not seen may still act.
+        """The number of controllers that share the room.
+
+        This is the store's last count. While the store gives this controller no rank, it is the number of
+        members seen here if that is larger. It is never smaller, as an unseen controller may still act.
         """
         return store if ranked else max(store, sum(1 for _ in self.members.live()))
 
     def unheard(self, now: float) -> list[int]:
-        """Members that live and that this one does not hear directly."""
+        """Live members that this one does not hear directly."""
         others = self.members.others()
-        late = DEAF * self._pace() * (len(others) + 1)
-        return [x.number for x in others if now - self.heard_at.get(x.number, now) > late]
+        timeout = UNHEARD_ROUNDS * self._probe_interval() * (len(others) + 1)
+        return [x.number for x in others if now - self.last_heard.get(x.number, now) > timeout]
 
     def unheard_by(self, now: float) -> list[int]:
-        """Members that this one hears, and that say that they do not hear it."""
-        fresh = 3 * self.config.sync_interval
-        return [n for n, at in self.deaf_to_me.items() if now - at < fresh and n in self.members.records]
+        """Members that this one hears and that report not hearing it."""
+        validity = UNHEARD_REPORT_SYNCS * self.config.sync_interval
+        return [
+            n for n, at in self.unheard_reports.items() if now - at < validity and n in self.members.records
+        ]
 
-    def leave(self, now: float) -> Out:
-        """This controller ends by its own will: no suspicion is needed."""
+    def leave(self, now: float) -> OutgoingDatagrams:
+        """Announce that this controller shuts down, so that the others need no suspicion."""
         self.members.announce(msgspec.structs.replace(self.members.own, status=MemberStatus.LEFT))
-        to = self.random.sample(self.members.others(), min(5, len(self.members.others())))
-        return [self._send(x.host, x.port, w.PING, self._turn()) for x in to]
+        receivers = self.random.sample(self.members.others(), min(LEAVE_FANOUT, len(self.members.others())))
+        return [self._send(x.host, x.port, messages.PING, self._next_sequence()) for x in receivers]
 
-    # What happens.
+    # Events.
 
-    def tick(self, now: float) -> Out:
-        """What is due by now; call when `due` has come, and whenever else."""
-        self._noticed(now)
-        out: Out = []
+    def tick(self, now: float) -> OutgoingDatagrams:
+        """Do what is due; call at `due` or earlier."""
+        self._detect_pause(now)
+        out: OutgoingDatagrams = []
         for probe in list(self.probes.values()):
             if now >= probe.until:
-                out += self._missed(now, probe)
-            elif now >= probe.due and not probe.asked:
-                out += self._ask_others(now, probe)
-        for turn in [t for t, errand in self.errands.items() if now >= errand[3]]:
-            (host, port), theirs, number, _ = self.errands.pop(turn)
-            out.append(self._send(host, port, w.HEARD, theirs, number))
-        for doubt in list(self.doubts.values()):
-            if now >= doubt.until(self.config.confirmations) and now >= self.asking:
-                self._judge(now, doubt)
+                out += self._probe_failed(now, probe)
+            elif now >= probe.due and not probe.helpers:
+                out += self._probe_indirectly(now, probe)
+        for sequence in [s for s, relayed in self.relayed_probes.items() if now >= relayed[3]]:
+            (host, port), their_sequence, number, _ = self.relayed_probes.pop(sequence)
+            out.append(self._send(host, port, messages.PING_RESULT, their_sequence, number))
+        for suspicion in list(self.suspicions.values()):
+            if now >= suspicion.until(self.config.confirmations) and now >= self.catching_up_until:
+                self._declare_gone(now, suspicion)
         if now >= self.next_probe:
-            self.next_probe = now + self._pace()
-            out += self._probe(now) + self._ask_again()
+            self.next_probe = now + self._probe_interval()
+            out += self._probe_next(now) + self._ping_suspects()
         if now >= self.next_sync:
-            # Alone, or just back, it asks again soon: whoever it asked may not have been there.
-            alone = now < self.asking or not self.members.others()
-            pause = self.config.probe_interval if alone else self.config.sync_interval
-            self.next_sync = now + pause * self.random.uniform(0.75, 1.25)
+            # Alone or just resumed, sync again soon: the member that was asked may not have been running.
+            alone = now < self.catching_up_until or not self.members.others()
+            interval = self.config.probe_interval if alone else self.config.sync_interval
+            self.next_sync = now + interval * self.random.uniform(0.75, 1.25)
             out += self._sync(now)
             self.members.prune(now)
         return out
 
-    def receive(self, now: float, data: bytes, sender: Address) -> Out:
-        """A datagram that came; what cannot be read is counted and dropped."""
-        self._noticed(now)
+    def receive(self, now: float, data: bytes, sender: Address) -> OutgoingDatagrams:
+        """Process a datagram; an invalid one is counted and dropped."""
+        self._detect_pause(now)
         try:
-            d = w.decode(data, self.fleet)
+            datagram = messages.decode(data, self.fleet)
         except InvalidDatagram:
             self.counts["unreadable"] += 1
             return []
-        if d.sender == self.members.own.number:
-            return []  # our own, sent back; or another process under our number, which the store settles
-        for word in d.records:
-            self._take(now, word, d.sender)
-        known = self.members.records.get(d.sender)
-        if known is not None and known.incarnation == d.incarnation:
-            self.heard_at[d.sender] = now
-            if self.members.own.number in d.unheard:
-                self.deaf_to_me[d.sender] = now
+        if datagram.sender == self.members.own.number:
+            return []  # our own, looped back; or another process with our number, which the store resolves
+        for record in datagram.records:
+            self._merge(now, record, datagram.sender)
+        known = self.members.records.get(datagram.sender)
+        if known is not None and known.incarnation == datagram.incarnation:
+            self.last_heard[datagram.sender] = now
+            if self.members.own.number in datagram.unheard:
+                self.unheard_reports[datagram.sender] = now
             else:
-                self.deaf_to_me.pop(d.sender, None)
-        # Answers go where a member says that it is reached, not where its datagram seems to come from.
-        return self._answer(now, d, (known.host, known.port) if known else sender)
+                self.unheard_reports.pop(datagram.sender, None)
+        # Reply to the address that the member advertises, not to the one its datagram seems to come from.
+        return self._reply(now, datagram, (known.host, known.port) if known else sender)
 
-    def _answer(self, now: float, d: Datagram, sender: Address) -> Out:
+    def _reply(self, now: float, datagram: Datagram, sender: Address) -> OutgoingDatagrams:
         host, port = sender
-        match d.kind:
-            case w.PING:
-                # Whoever is doubted hears of it from whom it asks, and can answer at once.
-                return [self._send(host, port, w.ACK, d.sequence, first=(d.sender,))]
-            case w.ACK:
-                return self._acked(d)
-            case w.ASK:
-                target = self.members.records.get(d.target)
+        match datagram.kind:
+            case messages.PING:
+                # A suspected member learns of the suspicion from those it pings and can refute it at once.
+                return [self._send(host, port, messages.ACK, datagram.sequence, first=(datagram.sender,))]
+            case messages.ACK:
+                return self._handle_ack(datagram)
+            case messages.PING_REQUEST:
+                target = self.members.records.get(datagram.target)
                 if target is None:
                     return []
-                turn = self._turn()
-                self.errands[turn] = sender, d.sequence, d.target, now + self.config.ack_timeout
-                return [self._send(target.host, target.port, w.PING, turn, first=(d.target,))]
-            case w.HEARD:
-                probe = self.probes.get(d.sequence)
-                if probe is not None and probe.number == d.target:
+                sequence = self._next_sequence()
+                self.relayed_probes[sequence] = (
+                    sender,
+                    datagram.sequence,
+                    datagram.target,
+                    now + self.config.ack_timeout,
+                )
+                return [
+                    self._send(target.host, target.port, messages.PING, sequence, first=(datagram.target,))
+                ]
+            case messages.PING_RESULT:
+                probe = self.probes.get(datagram.sequence)
+                if probe is not None and probe.number == datagram.target:
                     probe.answers += 1
-                    if d.ok:
-                        del self.probes[d.sequence]
-            case w.SYNC if not d.ok:
-                return self._all(host, port, True)
-            case w.SYNC if d.target == ANSWER and now < self.asking:
-                return self._caught_up(now)
+                    if datagram.ok:
+                        del self.probes[datagram.sequence]
+            case messages.SYNC if not datagram.ok:
+                return self._full_table(host, port, True)
+            case messages.SYNC if datagram.target == SYNC_REPLY and now < self.catching_up_until:
+                return self._finish_catching_up(now)
         return []
 
-    def _acked(self, d: Datagram) -> Out:
-        if probe := self.probes.pop(d.sequence, None):
-            if probe.incarnation == d.incarnation:
+    def _handle_ack(self, datagram: Datagram) -> OutgoingDatagrams:
+        if probe := self.probes.pop(datagram.sequence, None):
+            if probe.incarnation == datagram.incarnation:
                 self.health = max(0, self.health - 1)
-        elif errand := self.errands.pop(d.sequence, None):
-            (host, port), theirs, number, _ = errand
-            return [self._send(host, port, w.HEARD, theirs, number, good=True)]
+        elif relayed := self.relayed_probes.pop(datagram.sequence, None):
+            (host, port), their_sequence, number, _ = relayed
+            return [self._send(host, port, messages.PING_RESULT, their_sequence, number, ok=True)]
         return []
 
-    def _caught_up(self, now: float) -> Out:
-        """What was missed has been told; who is still doubted is asked once more, and has its whole time."""
-        self.asking = now
-        for doubt in self.doubts.values():
-            doubt.since = now
-        doubted = [self.members.records[number] for number in self.doubts]
-        return [self._send(x.host, x.port, w.PING, self._turn(), first=(x.number,)) for x in doubted]
+    def _finish_catching_up(self, now: float) -> OutgoingDatagrams:
+        """The missed records have arrived: ping the suspects once more and restart their suspicions."""
+        self.catching_up_until = now
+        for suspicion in self.suspicions.values():
+            suspicion.since = now
+        suspects = [self.members.records[number] for number in self.suspicions]
+        return [
+            self._send(x.host, x.port, messages.PING, self._next_sequence(), first=(x.number,))
+            for x in suspects
+        ]
 
-    # Judging.
+    # Failure detection.
 
-    def _noticed(self, now: float) -> None:
-        """Whether this process was stopped. Then nothing that was out counts, and it asks before judging."""
-        late = now - max(self.last, min(self.due, now))
-        gap, self.last = now - self.last, now
+    def _detect_pause(self, now: float) -> None:
+        """After a pause, drop what was in flight and catch up before declaring members gone."""
+        late = now - max(self.last_run, min(self.due, now))
+        gap, self.last_run = now - self.last_run, now
         if (
             not self.config.detects_pauses
             or late <= self.config.pause_threshold
@@ -234,143 +264,181 @@
             return
         self.counts["paused"] += 1
         self.probes.clear()
-        self.errands.clear()
-        self.asking = now + self.config.catch_up_timeout
+        self.relayed_probes.clear()
+        self.catching_up_until = now + self.config.catch_up_timeout
         self.next_sync = now
-        for number in self.heard_at:
-            self.heard_at[number] += gap
+        for number in self.last_heard:
+            self.last_heard[number] += gap
         self.health = min(self.config.max_health, self.health + 1)
 
-    def _take(self, now: float, word: MemberRecord, by: int) -> None:
-        if not 0 <= word.status <= MemberStatus.LEFT:
+    def _merge(self, now: float, record: MemberRecord, reporter: int) -> None:
+        if not 0 <= record.status <= MemberStatus.LEFT:
             return
-        mine = self.members.own
-        before = self.members.merge(now, word)
-        if self.members.own is not mine:
-            # Somebody missed our answers: perhaps we are slow.
+        own = self.members.own
+        before = self.members.merge(now, record)
+        if self.members.own is not own:
+            # A member missed our answers and we refuted its suspicion: this process may be slow.
             self.counts["refuted"] += 1
             self.health = min(self.config.max_health, self.health + 1)
             return
-        doubt = self.doubts.get(word.number)
+        suspicion = self.suspicions.get(record.number)
         if before is None:
-            if doubt and word.precedence == doubt.word.precedence and by not in doubt.by:
-                doubt.by.add(by)
+            if (
+                suspicion
+                and record.precedence == suspicion.record.precedence
+                and reporter not in suspicion.confirmed_by
+            ):
+                suspicion.confirmed_by.add(reporter)
             return
-        if word.status == MemberStatus.SUSPECT:
-            self._doubt(now, word, by)
+        if record.status == MemberStatus.SUSPECT:
+            self._suspect(now, record, reporter)
         else:
-            self.doubts.pop(word.number, None)
-        if before.incarnation != word.incarnation:
-            for known in (self.heard_at, self.deaf_to_me):
-                known.pop(word.number, None)
-        if word.status < MemberStatus.GONE:
-            self.heard_at.setdefault(word.number, now)
-
-    def _doubt(self, now: float, word: MemberRecord, by: int) -> None:
-        t = self.config
-        least = t.suspicion_rounds * max(1.0, log10(max(1, len(self.members.records)))) * t.probe_interval
-        doubt = self.doubts[word.number] = Doubt(word, now, least, least * max(1.0, t.max_suspicion_factor))
-        if by != self.members.own.number:
-            doubt.by.add(by)
-
-    def _missed(self, now: float, probe: Probe) -> Out:
-        """No answer, from itself or through others."""
-        del self.probes[probe.turn]
-        word = self.members.records.get(probe.number)
-        # Those asked did not say a word either: it may be us whom nobody hears.
-        silent = probe.asked > 0 and probe.answers == 0
+            self.suspicions.pop(record.number, None)
+        if before.incarnation != record.incarnation:
+            for times in (self.last_heard, self.unheard_reports):
+                times.pop(record.number, None)
+        if record.status < MemberStatus.GONE:
+            self.last_heard.setdefault(record.number, now)
+
+    def _suspect(self, now: float, record: MemberRecord, reporter: int) -> None:
+        config = self.config
+        shortest = (
+            config.suspicion_rounds
+            * max(1.0, log10(max(1, len(self.members.records))))
+            * config.probe_interval
+        )
+        suspicion = self.suspicions[record.number] = Suspicion(
+            record, now, shortest, shortest * max(1.0, config.max_suspicion_factor)
+        )
+        if reporter != self.members.own.number:
+            suspicion.confirmed_by.add(reporter)
+
+    def _probe_failed(self, now: float, probe: Probe) -> OutgoingDatagrams:
+        """Neither the member nor the members asked for indirect probes have confirmed that it is alive."""
+        del self.probes[probe.sequence]
+        record = self.members.records.get(probe.number)
+        # If the helpers did not answer either, the fault may be on our side.
+        silent = probe.helpers > 0 and probe.answers == 0
         self.health = min(self.config.max_health, self.health + (1 if silent else 0))
         if (
-            word is None
-            or word.incarnation != probe.incarnation
-            or word.status >= MemberStatus.GONE
-            or now < self.asking
+            record is None
+            or record.incarnation != probe.incarnation
+            or record.status >= MemberStatus.GONE
+            or now < self.catching_up_until
         ):
             return []
-        if word.status == MemberStatus.SUSPECT:
-            if doubt := self.doubts.get(word.number):
-                doubt.by.add(self.members.own.number)
+        if record.status == MemberStatus.SUSPECT:
+            if suspicion := self.suspicions.get(record.number):
+                suspicion.confirmed_by.add(self.members.own.number)
             return []
         self.counts["suspected"] += 1
-        suspect = msgspec.structs.replace(word, status=MemberStatus.SUSPECT)
+        suspect = msgspec.structs.replace(record, status=MemberStatus.SUSPECT)
         self.members.merge(now, suspect)
-        self._doubt(now, suspect, self.members.own.number)
-        return [self._send(word.host, word.port, w.PING, self._turn(), first=(word.number,))]
+        self._suspect(now, suspect, self.members.own.number)
+        return [
+            self._send(record.host, record.port, messages.PING, self._next_sequence(), first=(record.number,))
+        ]
 
-    def _judge(self, now: float, doubt: Doubt) -> None:
-        del self.doubts[doubt.word.number]
-        if self.members.records.get(doubt.word.number) == doubt.word:
+    def _declare_gone(self, now: float, suspicion: Suspicion) -> None:
+        del self.suspicions[suspicion.record.number]
+        if self.members.records.get(suspicion.record.number) == suspicion.record:
             self.counts["gone"] += 1
-            self.members.merge(now, msgspec.structs.replace(doubt.word, status=MemberStatus.GONE))
+            self.members.merge(now, msgspec.structs.replace(suspicion.record, status=MemberStatus.GONE))
 
-    # Asking.
+    # Sending.
 
-    def _pace(self) -> float:
+    def _probe_interval(self) -> float:
         return self.config.probe_interval * (1 + self.health / 2)
 
-    def _turn(self) -> int:
-        self.turn += 1
-        return self.turn
-
-    def _probe(self, now: float) -> Out:
-        """The next of a round in which each is met once, in an order of its own."""
-        while self.round:
-            word = self.members.records.get(self.round.pop())
-            if word is not None and word.status < MemberStatus.GONE:
-                turn, patience = self._turn(), self.config.ack_timeout * (1 + self.health)
-                self.probes[turn] = Probe(word, turn, now + patience, now + max(3 * patience, self._pace()))
-                return [self._send(word.host, word.port, w.PING, turn, now=now, first=(word.number,))]
-        self.round = [word.number for word in self.members.others()]
-        self.random.shuffle(self.round)
-        return self._probe(now) if self.round else []
-
-    def _ask_again(self) -> Out:
-        """Whoever is doubted is asked by a few each round: of many lost datagrams one has to get through."""
-        part = AGAIN / len(self.members.records)
-        doubted = [self.members.records[n] for n in self.doubts if self.random.random() < part]
-        return [self._send(x.host, x.port, w.PING, self._turn(), first=(x.number,)) for x in doubted]
-
-    def _ask_others(self, now: float, probe: Probe) -> Out:
-        able = [
+    def _next_sequence(self) -> int:
+        self.sequence += 1
+        return self.sequence
+
+    def _probe_next(self, now: float) -> OutgoingDatagrams:
+        """Probe the next member of a round, in which each member is probed once in random order."""
+        while self.probe_order:
+            record = self.members.records.get(self.probe_order.pop())
+            if record is not None and record.status < MemberStatus.GONE:
+                sequence, timeout = self._next_sequence(), self.config.ack_timeout * (1 + self.health)
+                self.probes[sequence] = Probe(
+                    record,
+                    sequence,
+                    now + timeout,
+                    now + max(PROBE_DEADLINE_FACTOR * timeout, self._probe_interval()),
+                )
+                return [
+                    self._send(
+                        record.host, record.port, messages.PING, sequence, now=now, first=(record.number,)
+                    )
+                ]
+        self.probe_order = [record.number for record in self.members.others()]
+        self.random.shuffle(self.probe_order)
+        return self._probe_next(now) if self.probe_order else []
+
+    def _ping_suspects(self) -> OutgoingDatagrams:
+        """Some members ping each suspect in every round, so that one of many lost datagrams gets through."""
+        probability = PROBERS_PER_SUSPECT / len(self.members.records)
+        suspects = [self.members.records[n] for n in self.suspicions if self.random.random() < probability]
+        return [
+            self._send(x.host, x.port, messages.PING, self._next_sequence(), first=(x.number,))
+            for x in suspects
+        ]
+
+    def _probe_indirectly(self, now: float, probe: Probe) -> OutgoingDatagrams:
+        candidates = [
             x for x in self.members.others() if x.number != probe.number and x.status == MemberStatus.ALIVE
         ]
-        asked = self.random.sample(able, min(self.config.indirect_probes, len(able)))
-        probe.asked = len(asked) or -1
-        return [self._send(x.host, x.port, w.ASK, probe.turn, probe.number, now=now) for x in asked]
+        helpers = self.random.sample(candidates, min(self.config.indirect_probes, len(candidates)))
+        probe.helpers = len(helpers) or -1
+        return [
+            self._send(x.host, x.port, messages.PING_REQUEST, probe.sequence, probe.number, now=now)
+            for x in helpers
+        ]
 
-    def _sync(self, now: float) -> Out:
+    def _sync(self, now: float) -> OutgoingDatagrams:
         others = [(x.host, x.port) for x in self.members.others()]
-        # Also those of the directory that are not known: two halves that lost each other meet again there.
-        strange = [
+        # Also sync with seeds that are not members: two halves of a healed partition meet again this way.
+        unknown = [
             a for a in self.seeds if a not in others and a != (self.members.own.host, self.members.own.port)
         ]
-        to = [self.random.choice(group) for group in (others, strange) if group]
-        if now < self.asking and len(others) > 1:
-            to += [self.random.choice(others)]
-        return [part for host, port in to for part in self._all(host, port, False)]
+        receivers = [self.random.choice(group) for group in (others, unknown) if group]
+        if now < self.catching_up_until and len(others) > 1:
+            receivers += [self.random.choice(others)]
+        return [part for host, port in receivers for part in self._full_table(host, port, False)]
 
-    def _all(self, host: str, port: int, answer: bool) -> Out:
-        """All that is known, in as many datagrams as it takes."""
+    def _full_table(self, host: str, port: int, is_reply: bool) -> OutgoingDatagrams:
+        """The whole member table, in as many SYNC datagrams as it takes."""
         left, out = list(self.members.records.values()), []
         while left:
-            page = tuple(left[:24])
-            left = left[24:]
-            # Only the last page asks for the other's: an exchange is one of each.
-            about = ANSWER if answer else -1
-            out.append(self._send(host, port, w.SYNC, self._turn(), about, answer or bool(left), page=page))
+            page = tuple(left[:RECORDS_PER_SYNC])
+            left = left[RECORDS_PER_SYNC:]
+            # Only the last page requests the other table, so that each table is sent once per exchange.
+            target = SYNC_REPLY if is_reply else -1
+            out.append(
+                self._send(
+                    host,
+                    port,
+                    messages.SYNC,
+                    self._next_sequence(),
+                    target,
+                    is_reply or bool(left),
+                    page=page,
+                )
+            )
         return out
 
     def _send(
-        self, host: str, port: int, kind: int, turn: int, about: int = -1, good: bool = False,
+        self, host: str, port: int, kind: int, sequence: int, target: int = -1, ok: bool = False,
         page: tuple[MemberRecord, ...] = (), first: tuple[int, ...] = (), now: float | None = None,
     ) -> tuple[Address, bytes]:  # fmt: skip
-        me = self.members.own
-        deaf = tuple(self.unheard(now)[:MOST_DEAF]) if now is not None else ()
-        said = page or self.members.pending_records(first)
+        own = self.members.own
+        unheard = tuple(self.unheard(now)[:MAX_UNHEARD_REPORTED]) if now is not None else ()
+        records = page or self.members.pending_records(first)
         datagram = Datagram(
-            w.VERSION, self.fleet, kind, me.number, me.incarnation, turn, about, good, deaf, said
-        )
-        data, fitted = w.encode_fitting(datagram)
+            messages.VERSION, self.fleet, kind, own.number, own.incarnation, sequence, target, ok, unheard,
+            records,
+        )  # fmt: skip
+        data, fitted = messages.encode_fitting(datagram)
         if not page:
             self.members.mark_sent(fitted)
         self.counts["sent"] += 1
--- a/herongap/gossip/members.py
+++ b/herongap/gossip/members.py
@@ -1,6 +1,7 @@
-"""What is known of all members: one word each, merged by the larger; and which words are still to be told.
+"""The member table: one record per member, merged by precedence, and which records are still to be spread.
 
-A member's word is raised by itself alone: told that it is suspected or gone, it answers with a larger one.
+Only a member itself increases its refutation count: when it learns that it is suspected or declared gone, it
+answers with a record of higher precedence.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,12 +12,13 @@
 
 from herongap.gossip.messages import MemberRecord
 
-SPREAD = 4  # a word is told so many times the decimal logarithm of the members: SWIM's lambda log n
-KEEP = 600.0  # seconds for which one that is gone or left is remembered, so that a late word revives nothing
+RETRANSMIT_FACTOR = 4  # a record is sent this often, times log10 of the members: SWIM's lambda log n
+ENDED_RETENTION_SECONDS = 600.0  # members that are gone or left are kept, so that late records revive nothing
+NEVER_SEND = 1 << 30  # send count of a record that is not to be spread
 
 
 class MemberStatus(IntEnum):
-    """How a member stands; of two words of one life, raised as often, the larger standing holds."""
+    """The status of a member; with equal incarnation and refutations the larger status holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,78 +27,79 @@
 
 
 class MemberTable:
-    """One controller's words. `me` is its own."""
+    """One controller's records of all members. `own` is its own record."""
 
-    def __init__(self, me: MemberRecord):
-        self.own = me
-        self.records: dict[int, MemberRecord] = {me.number: me}
+    def __init__(self, own: MemberRecord):
+        self.own = own
+        self.records: dict[int, MemberRecord] = {own.number: own}
         self.ended_at: dict[int, float] = {}
-        self.change_count = 0  # so far, in any word
-        self._send_counts: dict[int, int] = {me.number: 0}
-
-    def merge(self, now: float, word: MemberRecord) -> MemberRecord | None:
-        """Take a word if it is larger than what is known; the one that it replaces, or itself where new."""
-        known = self.records.get(word.number)
-        if word.number == self.own.number:
-            return self._refute(word)
-        if known is not None and word.precedence <= known.precedence:
+        self.change_count = 0  # of all records so far
+        self._send_counts: dict[int, int] = {own.number: 0}
+
+    def merge(self, now: float, record: MemberRecord) -> MemberRecord | None:
+        """Store a record if it takes precedence; returns the replaced record, or itself if new, else None."""
+        known = self.records.get(record.number)
+        if record.number == self.own.number:
+            return self._refute(record)
+        if known is not None and record.precedence <= known.precedence:
             return None
-        if known is None and word.status >= MemberStatus.GONE:
-            # Of one never known: nothing to tell, but an older word of it must not pass for news.
-            self._send_counts[word.number] = 1 << 30
+        if known is None and record.status >= MemberStatus.GONE:
+            # The member was never known here: its end is not news, and an older record must not become news.
+            self._send_counts[record.number] = NEVER_SEND
         else:
-            self._send_counts[word.number] = 0
-        self.records[word.number] = word
+            self._send_counts[record.number] = 0
+        self.records[record.number] = record
         self.change_count += 1
-        if word.status >= MemberStatus.GONE:
-            self.ended_at.setdefault(word.number, now)
+        if record.status >= MemberStatus.GONE:
+            self.ended_at.setdefault(record.number, now)
         else:
-            self.ended_at.pop(word.number, None)
-        return known or word
+            self.ended_at.pop(record.number, None)
+        return known or record
 
-    def _refute(self, word: MemberRecord) -> MemberRecord | None:
-        """What is said of ourselves: a doubt about this life is answered; an older life is nobody's now."""
-        me = self.own
+    def _refute(self, record: MemberRecord) -> MemberRecord | None:
+        """Refute a suspicion of this incarnation; a record of an older incarnation needs no answer."""
+        own = self.own
         if (
-            word.incarnation != me.incarnation
-            or word.status == MemberStatus.ALIVE
-            or word.refutations < me.refutations
+            record.incarnation != own.incarnation
+            or record.status == MemberStatus.ALIVE
+            or record.refutations < own.refutations
         ):
             return None
-        if me.status == MemberStatus.LEFT:
+        if own.status == MemberStatus.LEFT:
             return None
-        self.announce(msgspec.structs.replace(me, refutations=word.refutations + 1))
-        return me
+        self.announce(msgspec.structs.replace(own, refutations=record.refutations + 1))
+        return own
 
-    def announce(self, mine: MemberRecord) -> None:
-        """Our own word, raised or ended; told anew to everybody."""
-        self.own = self.records[mine.number] = mine
+    def announce(self, own: MemberRecord) -> None:
+        """Replace our own record and spread it to all members."""
+        self.own = self.records[own.number] = own
         self.change_count += 1
-        self._send_counts[mine.number] = 0
+        self._send_counts[own.number] = 0
 
     def live(self) -> Iterator[MemberRecord]:
-        """All that are not gone, this one too."""
-        return (word for word in self.records.values() if word.status < MemberStatus.GONE)
+        """All members that have not ended, including this one."""
+        return (record for record in self.records.values() if record.status < MemberStatus.GONE)
 
     def others(self) -> list[MemberRecord]:
-        return [word for word in self.live() if word.number != self.own.number]
+        """All other members that have not ended."""
+        return [record for record in self.live() if record.number != self.own.number]
 
     def pending_records(self, first: Iterable[int] = ()) -> tuple[MemberRecord, ...]:
-        """The words that are still to be told, those in `first` and then the least told before the others."""
-        most = SPREAD * ceil(log10(len(self.records) + 1))
-        ahead = {number: i for i, number in enumerate(first)}
-        due = [n for n, told in self._send_counts.items() if told < most or n in ahead]
-        due.sort(key=lambda n: (ahead.get(n, len(ahead)), self._send_counts[n]))
+        """The records still to be spread: those of `first`, then the others, least sent first."""
+        max_sends = RETRANSMIT_FACTOR * ceil(log10(len(self.records) + 1))
+        position = {number: i for i, number in enumerate(first)}
+        due = [n for n, sent in self._send_counts.items() if sent < max_sends or n in position]
+        due.sort(key=lambda n: (position.get(n, len(position)), self._send_counts[n]))
         return tuple(self.records[n] for n in due if n in self.records)
 
-    def mark_sent(self, words: Iterable[MemberRecord]) -> None:
-        """These have been told once more."""
-        for word in words:
-            if self.records.get(word.number) is word:
-                self._send_counts[word.number] += 1
+    def mark_sent(self, records: Iterable[MemberRecord]) -> None:
+        """Count one more transmission of each of these records."""
+        for record in records:
+            if self.records.get(record.number) is record:
+                self._send_counts[record.number] += 1
 
     def prune(self, now: float) -> None:
-        """Drop those that ended long ago: names of a thousand restarts must not pile up."""
-        for number in [n for n, at in self.ended_at.items() if now - at > KEEP]:
+        """Drop members that ended long ago, so that a thousand restarts do not accumulate."""
+        for number in [n for n, at in self.ended_at.items() if now - at > ENDED_RETENTION_SECONDS]:
             del self.ended_at[number], self.records[number], self._send_counts[number]
             self.change_count += 1
--- a/herongap/gossip/messages.py
+++ b/herongap/gossip/messages.py
@@ -1,8 +1,8 @@
-"""Datagrams as values: what one controller says to another, in MessagePack, of at most 1,200 bytes.
+"""The datagrams of the gossip protocol, in MessagePack, of at most 1,200 bytes.
 
-A word is what is said of one member. It belongs to that member's life (a restarted process is another), and
-only the member itself raises it. Of two words the larger holds, so they may come in any order, any number of
-times.
+A record is the state of one member. It belongs to one incarnation of that member (a restarted process is a
+new one), and only the member itself increases its refutation count. Of two records the one with the higher
+precedence holds, so they may arrive in any order and any number of times.
 """
 
 import msgspec
@@ -10,19 +10,24 @@
 from herongap.errors import Unusable
 
 VERSION = 1
-MOST = 1200  # bytes of a datagram: less than any path carries in one piece
-PING, ACK, ASK, HEARD, SYNC = range(5)
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of any path, so that a datagram is never fragmented
+MAX_ERROR_CHARACTERS = 120
+PING, ACK, PING_REQUEST, PING_RESULT, SYNC = range(5)
 
 
 class InvalidDatagram(Unusable):
-    """A datagram that is none of ours: cut short, of another version or fleet, or noise."""
+    """A datagram that is truncated, of another version or fleet, or not of this protocol."""
 
-    advice = "counted and dropped; if they keep coming, see who sends to the [gossip] port"
+    advice = (
+        "the datagram is counted and dropped; if this recurs, find out which host sends to the [gossip] port"
+    )
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of a member: its number, its life (the larger is the newer), how often it has raised its
-    word in that life, and how it stands (see `members.MemberStatus`).
+    """The state of one member, as its newest known incarnation.
+
+    `incarnation` grows with each restart, `refutations` with each refutation within an incarnation. `status`
+    is a `members.MemberStatus`.
     """
 
     number: int
@@ -35,16 +40,17 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
+        """Of two records of a member the larger precedence holds."""
         return self.incarnation, self.refutations, self.status
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True, omit_defaults=True):
-    """One datagram. `sender` and `incarnation` are the sender's.
+    """One datagram. `sender` and `incarnation` identify the sending process.
 
-    PING asks for an ACK of the same `sequence`. ASK asks the receiver to ping `target` and to answer HEARD,
-    `ok` or not. SYNC carries a part of all that its sender knows, and asks for the receiver's in
-    turn where `ok` is not set. `unheard` names members that the sender does not hear directly although they
-    live.
+    PING requests an ACK with the same `sequence`. PING_REQUEST asks the receiver to ping `target` and to
+    answer with PING_RESULT, `ok` or not. SYNC carries a part of the sender's member table and requests the
+    receiver's table in return unless `ok` is set. `unheard` lists members that the sender does not hear
+    directly although they are alive.
     """
 
     version: int
@@ -64,28 +70,30 @@
 
 
 def encode_fitting(datagram: Datagram) -> tuple[bytes, tuple[MemberRecord, ...]]:
-    """The bytes of a datagram with as many of its words as fit, and those words."""
+    """The bytes of a datagram with as many of its records as fit, and those records."""
     data = _encode(datagram)
-    while len(data) > MOST:
-        fewer = min(len(datagram.records) * MOST // len(data), len(datagram.records) - 1)
+    while len(data) > MAX_DATAGRAM_BYTES:
+        fewer = min(len(datagram.records) * MAX_DATAGRAM_BYTES // len(data), len(datagram.records) - 1)
         datagram = msgspec.structs.replace(datagram, records=datagram.records[:fewer])
         data = _encode(datagram)
     return data, datagram.records
 
 
 def encode(datagram: Datagram) -> bytes:
-    """The bytes of a datagram, with as many of its words as fit."""
+    """The bytes of a datagram, with as many of its records as fit."""
     return encode_fitting(datagram)[0]
 
 
 def decode(data: bytes, fleet: str) -> Datagram:
     """The datagram in these bytes; raises InvalidDatagram."""
-    if len(data) > MOST:
-        raise InvalidDatagram(f"{len(data)} bytes")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise InvalidDatagram(f"too large: {len(data)} bytes")
     try:
-        found = _decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as fault:
-        raise InvalidDatagram(str(fault)[:120]) from fault
-    if found.version != VERSION or found.fleet != fleet or not PING <= found.kind <= SYNC:
-        raise InvalidDatagram(f"version {found.version}, fleet {found.fleet!r:.40}, kind {found.kind}")
-    return found
+        datagram = _decode(data)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as error:
+        raise InvalidDatagram(str(error)[:MAX_ERROR_CHARACTERS]) from error
+    if datagram.version != VERSION or datagram.fleet != fleet or not PING <= datagram.kind <= SYNC:
+        raise InvalidDatagram(
+            f"version {datagram.version}, fleet {datagram.fleet!r:.40}, kind {datagram.kind}"
+        )
+    return datagram
--- a/tests/members.py
+++ b/tests/members.py
@@ -1,4 +1,4 @@
-"""Controllers as processes with gossip alone, and a relay for datagrams before each."""
+"""Controller processes with gossip only, each behind a datagram relay."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 from herongap.rehearsal.datagrams import Datagrams
 
 CONTROLLER = ("-m", "herongap.rehearsal.controller")
-PLAIN = """
+WITHOUT_PAUSE_DETECTION = """
 import sys
 from functools import partial
 from herongap.daemon import gossip
@@ -25,66 +25,74 @@
 """
 
 
-def port(kind=socket.SOCK_STREAM) -> int:
+def free_port(kind=socket.SOCK_STREAM) -> int:
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 class Fleet:
-    """`size` processes in one zone, with `relay` before them."""
+    """`size` controller processes in one zone, behind `relay`."""
 
-    def __init__(self, folder, size=4, plain=()):
-        self.folder, self.size, self.plain = folder, size, plain
-        self.real = [port(socket.SOCK_DGRAM) for _ in range(size)]
-        self.metrics = [port() for _ in range(size)]
+    def __init__(self, folder, size=4, without_pause_detection=()):
+        self.folder, self.size, self.without_pause_detection = folder, size, without_pause_detection
+        self.real_ports = [free_port(socket.SOCK_DGRAM) for _ in range(size)]
+        self.metrics_ports = [free_port() for _ in range(size)]
         self.relay = Datagrams("test", 1)
-        self.said = [self.relay.before(n, ("127.0.0.1", real)) for n, real in enumerate(self.real)]
+        self.relay_addresses = [
+            self.relay.before(n, ("127.0.0.1", port)) for n, port in enumerate(self.real_ports)
+        ]
         (folder / "streamers.json").write_text('{"streamers": []}')
         (folder / "catalogue.json").write_text('{"titles": {}}')
         self.processes = [self.start(number) for number in range(size)]
 
     def start(self, number):
-        at = "127.0.0.1:{}".format
+        address = "127.0.0.1:{}".format
         text = INI.replace("listen = 127.0.0.1:0\nrecord = {name}.record\n", "").replace(
             "[front]\n",
             f"[front]\nlisten = 127.0.0.1:0\nnumber = {number}\ncontrollers = {self.size}\n"
-            f"metrics = {at(self.metrics[number])}\nlog_to = log-{number}\n",
+            f"metrics = {address(self.metrics_ports[number])}\nlog_to = log-{number}\n",
         )
-        seeds = ", ".join(at(address[1]) for address in self.said)
-        text += f"[gossip]\nlisten = {at(self.real[number])}\nfleet = test\nevery = 0.25\nseeds = {seeds}\n"
-        text += f"advertise = {at(self.said[number][1])}\n"
+        seeds = ", ".join(address(relayed[1]) for relayed in self.relay_addresses)
+        listen = address(self.real_ports[number])
+        text += f"[gossip]\nlisten = {listen}\nfleet = test\nevery = 0.25\nseeds = {seeds}\n"
+        text += f"advertise = {address(self.relay_addresses[number][1])}\n"
         path = self.folder / f"front-{number}.ini"
         path.write_text(text)
-        how = ("-c", PLAIN) if number in self.plain else CONTROLLER
+        command = ("-c", WITHOUT_PAUSE_DETECTION) if number in self.without_pause_detection else CONTROLLER
         return subprocess.Popen(
-            [sys.executable, *how, str(path), "herongap"], stdin=subprocess.PIPE, stdout=subprocess.DEVNULL
+            [sys.executable, *command, str(path), "herongap"],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.DEVNULL,
         )
 
-    def told(self, number) -> dict:
-        """What one says of the members; {} while it does not listen yet."""
+    def membership(self, number) -> dict:
+        """The membership page of one controller; {} while it is not listening yet."""
         pool = gevent.get_hub().threadpool
         return pool.apply(self._get, (number,))
 
     def _get(self, number):
         try:
-            with urllib.request.urlopen(f"http://127.0.0.1:{self.metrics[number]}/list", timeout=2) as reply:
+            with urllib.request.urlopen(
+                f"http://127.0.0.1:{self.metrics_ports[number]}/list", timeout=2
+            ) as reply:
                 return json.load(reply)["members"]
         except OSError:
             return {}
 
-    def standing(self, of, at) -> str:
-        return self.told(at).get("members", {}).get(str(of), {}).get("standing", "")
+    def status(self, of, at) -> str:
+        """The status of one member as seen by another; empty if unknown."""
+        return self.membership(at).get("members", {}).get(str(of), {}).get("standing", "")
 
-    def all_see(self, standings: dict, at=None) -> bool:
+    def all_see(self, statuses: dict, at=None) -> bool:
         at = range(self.size) if at is None else at
-        return all(self.standing(of, n) == wanted for n in at for of, wanted in standings.items())
+        return all(self.status(of, n) == wanted for n in at for of, wanted in statuses.items())
 
-    def until(self, true, seconds) -> float:
-        return until(true, seconds, look=0.05)
+    def until(self, condition, seconds) -> float:
+        return until(condition, seconds, look=0.05)
 
-    def signal(self, number, which):
-        os.kill(self.processes[number].pid, which)
+    def signal(self, number, signal_number):
+        os.kill(self.processes[number].pid, signal_number)
 
     def close(self):
         for process in self.processes:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Membership without I/O: words that merge in any order, what is judged and what is not, in virtual time."""
+"""Gossip membership without I/O, in virtual time: record merging, failure detection, pauses, partitions."""
 
 import random
 
@@ -21,191 +21,197 @@
     MemberTable,
     decode,
     encode,
+    messages,
 )
-from herongap.gossip import messages as w
 
 ME = MemberRecord(0, 1, 0, MemberStatus.ALIVE, "10.0.0.1", 10000, "a")
 OTHER = MemberRecord(1, 5, 0, MemberStatus.ALIVE, "10.0.0.1", 10001, "b")
 
 
-def said(word, **changes):
-    return msgspec.structs.replace(word, **changes)
+def changed(record, **changes):
+    return msgspec.structs.replace(record, **changes)
 
 
-words = st.builds(
+records = st.builds(
     MemberRecord, st.integers(0, 3), st.integers(1, 3), st.integers(0, 3), st.integers(0, 3),
     st.just("10.0.0.1"), st.integers(1, 65535), st.just("a"),
 )  # fmt: skip
 
 
-@given(st.lists(words, max_size=12), st.randoms())
-def test_words_give_the_same_book_in_any_order_and_any_number_of_times(heard, chance):
-    books = []
+@given(st.lists(records, max_size=12), st.randoms())
+def test_merge_does_not_depend_on_order_or_repetition(received, rng):
+    tables = []
     for times in (1, 2):
-        book, order = MemberTable(said(ME, number=9)), heard * times
-        chance.shuffle(order)
-        for word in order:
-            book.merge(0.0, word)
-        books.append({n: x.precedence for n, x in book.records.items()})
-    assert books[0] == books[1]
-    for number, rank in books[0].items():
+        table, order = MemberTable(changed(ME, number=9)), received * times
+        rng.shuffle(order)
+        for record in order:
+            table.merge(0.0, record)
+        tables.append({n: x.precedence for n, x in table.records.items()})
+    assert tables[0] == tables[1]
+    for number, precedence in tables[0].items():
         if number != 9:
-            assert rank == max(x.precedence for x in heard if x.number == number)
+            assert precedence == max(x.precedence for x in received if x.number == number)
 
 
-def test_only_a_member_itself_raises_its_word_and_only_for_its_own_life():
-    book = MemberTable(ME)
-    assert book.merge(0.0, said(ME, status=MemberStatus.SUSPECT)) == ME
-    assert (book.own.refutations, book.own.status) == (1, MemberStatus.ALIVE)
+def test_only_the_member_itself_refutes_and_only_its_own_incarnation():
+    table = MemberTable(ME)
+    assert table.merge(0.0, changed(ME, status=MemberStatus.SUSPECT)) == ME
+    assert (table.own.refutations, table.own.status) == (1, MemberStatus.ALIVE)
     for old in (
-        said(ME, status=MemberStatus.GONE),
-        said(ME, incarnation=0, refutations=9, status=MemberStatus.GONE),
+        changed(ME, status=MemberStatus.GONE),
+        changed(ME, incarnation=0, refutations=9, status=MemberStatus.GONE),
     ):
-        book.merge(0.0, old)  # answered already; another life's
-    assert book.own.refutations == 1
-    book.merge(0.0, said(ME, refutations=4, status=MemberStatus.GONE))
-    assert book.own.refutations == 5 and book.records[0] == book.own
+        table.merge(0.0, old)  # refuted already; another incarnation
+    assert table.own.refutations == 1
+    table.merge(0.0, changed(ME, refutations=4, status=MemberStatus.GONE))
+    assert table.own.refutations == 5 and table.records[0] == table.own
 
 
-def test_a_late_word_about_an_old_life_changes_nothing():
-    book = MemberTable(ME)
-    book.merge(0.0, said(OTHER, incarnation=6))
+def test_late_record_of_an_old_incarnation_changes_nothing():
+    table = MemberTable(ME)
+    table.merge(0.0, changed(OTHER, incarnation=6))
     for late in (
-        said(OTHER, refutations=9, status=MemberStatus.GONE),
+        changed(OTHER, refutations=9, status=MemberStatus.GONE),
         OTHER,
-        said(OTHER, status=MemberStatus.LEFT),
+        changed(OTHER, status=MemberStatus.LEFT),
     ):
-        assert book.merge(1.0, late) is None
-    assert book.records[1].incarnation == 6 and book.records[1].status == MemberStatus.ALIVE
-    book.merge(2.0, said(OTHER, incarnation=6, status=MemberStatus.GONE))
-    assert book.merge(3.0, said(OTHER, incarnation=6)) is None, "a late rumour revives nobody"
-    assert book.merge(3.0, said(OTHER, incarnation=6, refutations=1)) is not None, "its own raised word does"
-
-
-def test_names_that_ended_long_ago_do_not_pile_up():
-    book = MemberTable(ME)
-    for life in range(1000):
-        book.merge(float(life), said(OTHER, number=1 + life, status=MemberStatus.ALIVE))
-        book.merge(float(life), said(OTHER, number=1 + life, status=MemberStatus.GONE))
-        book.prune(float(life))
-    assert len(book.records) < 700 and len(book._send_counts) == len(book.records)
-
-
-def test_datagrams_fit_and_what_cannot_be_read_is_dropped_and_counted():
-    many = tuple(said(OTHER, number=n, zone="a-zone-with-a-long-name") for n in range(230))
-    full = Datagram(w.VERSION, "f", w.PING, 0, 1, 1, records=many)
-    data = encode(full)
+        assert table.merge(1.0, late) is None
+    assert table.records[1].incarnation == 6 and table.records[1].status == MemberStatus.ALIVE
+    table.merge(2.0, changed(OTHER, incarnation=6, status=MemberStatus.GONE))
+    assert table.merge(3.0, changed(OTHER, incarnation=6)) is None, "a late record does not revive a member"
+    assert table.merge(3.0, changed(OTHER, incarnation=6, refutations=1)) is not None, (
+        "its own refutation does"
+    )
+
+
+def test_members_that_ended_long_ago_are_pruned():
+    table = MemberTable(ME)
+    for restart in range(1000):
+        table.merge(float(restart), changed(OTHER, number=1 + restart, status=MemberStatus.ALIVE))
+        table.merge(float(restart), changed(OTHER, number=1 + restart, status=MemberStatus.GONE))
+        table.prune(float(restart))
+    assert len(table.records) < 700 and len(table._send_counts) == len(table.records)
+
+
+def test_datagrams_fit_and_invalid_ones_are_counted_and_dropped():
+    many = tuple(changed(OTHER, number=n, zone="a-zone-with-a-long-name") for n in range(230))
+    oversized = Datagram(messages.VERSION, "f", messages.PING, 0, 1, 1, records=many)
+    data = encode(oversized)
     assert len(data) <= 1200 and 10 < len(decode(data, "f").records) < 230
     noise = random.Random(1).randbytes(200)
-    other = encode(msgspec.structs.replace(full, fleet="g", records=()))
-    newer = encode(msgspec.structs.replace(full, version=2, records=()))
+    other_fleet = encode(msgspec.structs.replace(oversized, fleet="g", records=()))
+    newer_version = encode(msgspec.structs.replace(oversized, version=2, records=()))
     g = Gossip(0.0, ME, "f", GossipConfig(), 1)
-    for bad in (b"", noise, data[:50], data + b"x", b"\x93" * 1000, other, newer, b"z" * 1201):
-        with pytest.raises(InvalidDatagram) as fault:
+    for bad in (b"", noise, data[:50], data + b"x", b"\x93" * 1000, other_fleet, newer_version, b"z" * 1201):
+        with pytest.raises(InvalidDatagram) as raised:
             decode(bad, "f")
-        assert fault.value.cause and fault.value.advice
+        assert raised.value.cause and raised.value.advice
         assert g.receive(0.0, bad, ("10.0.0.9", 1)) == []
     assert g.counts["unreadable"] == 8 and list(g.members.records) == [0]
 
 
-def test_a_member_begins_alive():
+def test_member_must_start_alive():
     with pytest.raises(Misuse):
-        Gossip(0.0, said(ME, status=MemberStatus.GONE), "f", GossipConfig(), 1)
+        Gossip(0.0, changed(ME, status=MemberStatus.GONE), "f", GossipConfig(), 1)
 
 
-def net(size, seed=1, warm=12.0, **more):
-    made = Net(size, seed, **more)
-    made.run(warm)
-    return made
+def running_net(size, seed=1, warm_up=12.0, **options):
+    net = Net(size, seed, **options)
+    net.run(warm_up)
+    return net
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.05, 0.2])
-def test_a_dead_one_is_found_by_all_and_no_live_one_is_called_gone(lost):
+def test_all_detect_a_dead_member_and_declare_no_live_one_gone(lost):
     for seed in (1, 2):
-        n = net(30, seed, warm=25.0, lost=lost)
-        assert all(len(m.gossip.members.records) == 30 for m in n.members.values())
-        n.kill(3)
-        assert n.until(lambda n=n: n.agree(3, MemberStatus.GONE), 20) < 8
-        n.run(n.clock.now + 40)
-        alive = [x for x in n.members if x != 3]
-        assert all(n.agree(x, MemberStatus.ALIVE) or n.agree(x, MemberStatus.SUSPECT) or lost for x in alive)
-        assert all(n.standing(x, at) < MemberStatus.GONE for x in alive for at in alive)
+        net = running_net(30, seed, warm_up=25.0, lost=lost)
+        assert all(len(m.gossip.members.records) == 30 for m in net.members.values())
+        net.kill(3)
+        assert net.until(lambda net=net: net.agree(3, MemberStatus.GONE), 20) < 8
+        net.run(net.clock.now + 40)
+        alive = [x for x in net.members if x != 3]
+        assert all(
+            net.agree(x, MemberStatus.ALIVE) or net.agree(x, MemberStatus.SUSPECT) or lost for x in alive
+        )
+        assert all(net.standing(x, at) < MemberStatus.GONE for x in alive for at in alive)
         if lost:
-            assert n.total("suspected") > 1 and n.total("refuted") > 0
-
-
-def test_who_hears_one_way_only_is_neither_dead_nor_flapping():
-    n = net(9)
-    n.cut = lambda a, b: (a, b) == (1, 2)
-    n.run(60)
-    assert all(n.agree(x, MemberStatus.ALIVE) for x in range(9))
-    assert n.members[2].gossip.unheard(60.0) == [1] and n.members[1].gossip.unheard_by(60.0) == [2]
-    raised = [m.gossip.members.own.refutations for m in n.members.values()]
-    assert max(raised) <= 2, "a pair's state is no reason to suspect again and again"
-
-
-def test_who_hears_all_and_is_heard_by_nobody_is_gone_and_judges_nobody():
-    n = net(9)
-    n.cut = lambda a, b: a == 4
-    n.until(lambda: n.agree(4, MemberStatus.GONE), 20)
-    n.run(n.clock.now + 20)
-    assert n.agree(4, MemberStatus.GONE) and sum(n.agree(x, MemberStatus.ALIVE, (4,)) for x in range(9)) == 8
-    n.cut = lambda a, b: False
-    assert n.until(lambda: n.agree(4, MemberStatus.ALIVE), 30) < 30, "heard again, it has raised its word"
+            assert net.total("suspected") > 1 and net.total("refuted") > 0
+
+
+def test_one_way_link_causes_neither_death_nor_flapping():
+    net = running_net(9)
+    net.cut = lambda a, b: (a, b) == (1, 2)
+    net.run(60)
+    assert all(net.agree(x, MemberStatus.ALIVE) for x in range(9))
+    assert net.members[2].gossip.unheard(60.0) == [1] and net.members[1].gossip.unheard_by(60.0) == [2]
+    refutations = [m.gossip.members.own.refutations for m in net.members.values()]
+    assert max(refutations) <= 2, "a one-way link must not cause repeated suspicions"
+
+
+def test_member_that_nobody_hears_is_gone_and_declares_nobody_gone():
+    net = running_net(9)
+    net.cut = lambda a, b: a == 4
+    net.until(lambda: net.agree(4, MemberStatus.GONE), 20)
+    net.run(net.clock.now + 20)
+    assert (
+        net.agree(4, MemberStatus.GONE) and sum(net.agree(x, MemberStatus.ALIVE, (4,)) for x in range(9)) == 8
+    )
+    net.cut = lambda a, b: False
+    assert net.until(lambda: net.agree(4, MemberStatus.ALIVE), 30) < 30, "heard again, it has refuted"
 
 
-@pytest.mark.parametrize("notices", [True, False])
-def test_who_was_stopped_judges_nobody_before_it_has_asked(notices):
-    judged = 0
+@pytest.mark.parametrize("detects_pauses", [True, False])
+def test_suspended_member_declares_nobody_gone_before_catching_up(detects_pauses):
+    declared_gone = 0
     for seed in range(12):
-        n = net(12, seed, terms=GossipConfig(detects_pauses=notices))
-        n.cut = lambda a, b: b == 5  # it begins to suspect the others
-        n.run(n.clock.now + 1.2)
-        n.members[5].stop(7.0)
-        n.cut = lambda a, b: False
-        n.run(n.clock.now + 20)
-        judged += n.members[5].gossip.counts["gone"]
-        assert n.until(lambda n=n: all(n.agree(x, MemberStatus.ALIVE) for x in range(12)), 30) < 30
-    assert judged == 0 if notices else judged > 3
-
-
-def test_a_restart_within_a_round_is_another_and_the_old_life_is_over():
-    n = net(9)
-    n.kill(2)
-    n.run(n.clock.now + 0.2)
-    n.start(2, 7)
-    known = [m.gossip.members for number, m in n.members.items() if number != 2]
-    assert n.until(lambda: all(book.records[2].incarnation == 7 for book in known), 15) < 10
-    n.run(n.clock.now + 20)
-    assert n.agree(2, MemberStatus.ALIVE) and all(book.records[2].incarnation == 7 for book in known)
-
-
-def test_one_joins_from_any_that_lives_and_two_halves_meet_again():
-    n = net(12, warm=0.0)
-    n.cut = lambda a, b: (a < 6) != (b < 6)
-    n.run(30)
-    assert n.standing(8, 1) in (None, MemberStatus.GONE)
-    n.cut = lambda a, b: False
-    assert n.until(lambda: all(n.agree(x, MemberStatus.ALIVE) for x in range(12)), 90) < 90
-    late = n.start(40, 1)
+        net = running_net(12, seed, terms=GossipConfig(detects_pauses=detects_pauses))
+        net.cut = lambda a, b: b == 5  # it begins to suspect the others
+        net.run(net.clock.now + 1.2)
+        net.members[5].stop(7.0)
+        net.cut = lambda a, b: False
+        net.run(net.clock.now + 20)
+        declared_gone += net.members[5].gossip.counts["gone"]
+        assert net.until(lambda net=net: all(net.agree(x, MemberStatus.ALIVE) for x in range(12)), 30) < 30
+    assert declared_gone == 0 if detects_pauses else declared_gone > 3
+
+
+def test_restart_within_a_round_is_a_new_incarnation_everywhere():
+    net = running_net(9)
+    net.kill(2)
+    net.run(net.clock.now + 0.2)
+    net.start(2, 7)
+    tables = [m.gossip.members for number, m in net.members.items() if number != 2]
+    assert net.until(lambda: all(table.records[2].incarnation == 7 for table in tables), 15) < 10
+    net.run(net.clock.now + 20)
+    assert net.agree(2, MemberStatus.ALIVE) and all(table.records[2].incarnation == 7 for table in tables)
+
+
+def test_member_joins_through_any_seed_and_partitions_heal():
+    net = running_net(12, warm_up=0.0)
+    net.cut = lambda a, b: (a < 6) != (b < 6)
+    net.run(30)
+    assert net.standing(8, 1) in (None, MemberStatus.GONE)
+    net.cut = lambda a, b: False
+    assert net.until(lambda: all(net.agree(x, MemberStatus.ALIVE) for x in range(12)), 90) < 90
+    late = net.start(40, 1)
     late.gossip.set_seeds([("10.0.0.1", 10007)])
-    assert n.until(lambda: n.agree(40, MemberStatus.ALIVE), 30) < 30
+    assert net.until(lambda: net.agree(40, MemberStatus.ALIVE), 30) < 30
 
 
-def test_one_that_ends_by_its_own_will_is_never_suspected():
-    n = net(9)
-    leaver = n.members[4]
-    n.carry(leaver, leaver.gossip.leave(n.clock.now))
-    n.run(n.clock.now + 0.5)
-    n.kill(4)
-    n.run(n.clock.now + 15)
-    assert n.agree(4, MemberStatus.LEFT) and n.total("gone") == 0
+def test_member_that_leaves_is_never_suspected():
+    net = running_net(9)
+    leaver = net.members[4]
+    net.carry(leaver, leaver.gossip.leave(net.clock.now))
+    net.run(net.clock.now + 0.5)
+    net.kill(4)
+    net.run(net.clock.now + 15)
+    assert net.agree(4, MemberStatus.LEFT) and net.total("gone") == 0
 
 
-def test_the_count_for_the_module_is_the_larger_and_the_stores_own_while_it_ranks_us():
+def test_controller_count_is_the_larger_one_unless_the_store_ranks_us():
     g = Gossip(0.0, ME, "f", GossipConfig(), 1)
     g.members.merge(0.0, OTHER)
-    g.members.merge(0.0, said(OTHER, number=2, status=MemberStatus.GONE))
+    g.members.merge(0.0, changed(OTHER, number=2, status=MemberStatus.GONE))
     assert (g.controller_count(1, False), g.controller_count(5, False), g.controller_count(1, True)) == (
         2,
         5,
@@ -213,57 +219,60 @@
     )
 
 
-class LastHolds(MemberTable):
-    """Believes whatever came last."""
+class LastRecordWins(MemberTable):
+    """Accepts every record, in order of arrival."""
 
-    def merge(self, now, word):
-        if word.number == self.own.number:
-            return super().merge(now, word)
-        known, self.records[word.number] = self.records.get(word.number), word
-        self._send_counts[word.number] = 0
+    def merge(self, now, record):
+        if record.number == self.own.number:
+            return super().merge(now, record)
+        known, self.records[record.number] = self.records.get(record.number), record
+        self._send_counts[record.number] = 0
         return known
 
 
-class Revives(MemberTable):
-    """A late rumour brings back one that was judged."""
+class LateRecordRevives(MemberTable):
+    """A late record revives a member that was declared gone."""
 
-    def merge(self, now, word):
-        known = self.records.get(word.number)
-        if known and known.incarnation == word.incarnation and (known.status, word.status) == (2, 0):
-            self.records[word.number] = word
+    def merge(self, now, record):
+        known = self.records.get(record.number)
+        if known and known.incarnation == record.incarnation and (known.status, record.status) == (2, 0):
+            self.records[record.number] = record
             return known
-        return super().merge(now, word)
+        return super().merge(now, record)
 
 
-class AnyLife(MemberTable):
-    """Answers what is said of an older life."""
+class RefutesAnyIncarnation(MemberTable):
+    """Refutes records of older incarnations too."""
 
-    def _refute(self, word):
-        if word.status == MemberStatus.ALIVE:
+    def _refute(self, record):
+        if record.status == MemberStatus.ALIVE:
             return None
-        self.announce(said(self.own, refutations=word.refutations + 1))
+        self.announce(changed(self.own, refutations=record.refutations + 1))
         return self.own
 
 
-class RaisesOthers(MemberTable):
-    """Makes its word of another the larger by raising it, instead of waiting for the member itself."""
+class RefutesForOthers(MemberTable):
+    """Increases the refutation count of another member, which only that member may do."""
 
-    def merge(self, now, word):
-        known = self.records.get(word.number)
-        if known and word.number != self.own.number and word.status > known.status:
-            word = said(word, refutations=word.refutations + 1)
-        return super().merge(now, word)
+    def merge(self, now, record):
+        known = self.records.get(record.number)
+        if known and record.number != self.own.number and record.status > known.status:
+            record = changed(record, refutations=record.refutations + 1)
+        return super().merge(now, record)
 
 
-def test_words_of_two_lives_hold_over_all_interleavings():
-    for world in ((2, 1), (2, 2), (3, 1)):
-        found = check_safety(rumours(*world))
+def test_all_interleavings_of_two_incarnations_keep_the_invariants():
+    for model in ((2, 1), (2, 2), (3, 1)):
+        found = check_safety(rumours(*model))
         assert found["exhaustive"] and found["reachable_states"] > 1000
         assert all(p["holds"] is True for p in found["properties"].values()), found
 
 
-@pytest.mark.parametrize("mistake, longest", [(LastHolds, 4), (Revives, 5), (AnyLife, 6), (RaisesOthers, 4)])
-def test_a_planted_mistake_in_words_is_found_by_a_short_way(mistake, longest):
-    found = check_safety(rumours(2, 2, mistake), max_states=8000)
-    ways = [p["counterexample"] for p in found["properties"].values() if p["holds"] is False]
-    assert ways and len(min(ways, key=len)) <= longest, found
+@pytest.mark.parametrize(
+    "variant, max_length",
+    [(LastRecordWins, 4), (LateRecordRevives, 5), (RefutesAnyIncarnation, 6), (RefutesForOthers, 4)],
+)
+def test_model_checker_finds_a_short_counterexample_for_each_faulty_variant(variant, max_length):
+    found = check_safety(rumours(2, 2, variant), max_states=8000)
+    counterexamples = [p["counterexample"] for p in found["properties"].values() if p["holds"] is False]
+    assert counterexamples and len(min(counterexamples, key=len)) <= max_length, found
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Several processes of the program that know of each other by gossip alone, with faults between them."""
+"""Several controller processes that know each other by gossip only, with network and process faults."""
 
 import gevent
 import pytest
@@ -11,80 +11,88 @@
 
 
 @pytest.fixture
-def fleet(tmp_path):
+def start_fleet(tmp_path):
     yield from closing(Fleet, tmp_path)
 
 
-def test_a_cut_one_way_is_no_death_and_a_kill_is_found_and_a_restart_is_another(fleet):
-    f = fleet()
-    f.until(lambda: f.all_see(ALIVE), 15)
-    f.relay.cut([(1, 2)])  # what 1 says never reaches 2; all else does
+def test_one_way_cut_is_no_death_and_kill_and_restart_are_detected(start_fleet):
+    fleet = start_fleet()
+    fleet.until(lambda: fleet.all_see(ALIVE), 15)
+    fleet.relay.cut([(1, 2)])  # datagrams from 1 never reach 2; all others arrive
     gevent.sleep(1.0)
-    f.processes[3].kill()
-    took = f.until(lambda: f.all_see({3: "gone"}, (0, 1, 2)), 10)
-    assert took < 8
-    f.until(lambda: 1 in f.told(2)["deaf"] and 2 in f.told(1)["unheard_by"], 15)
-    assert f.all_see({0: "alive", 1: "alive", 2: "alive"}, (0, 1, 2)) and f.relay.seen["lost"] > 5
-    assert all(f.told(n)["counts"]["gone"] <= 1 for n in range(3)), "nobody but the dead was judged"
-    before = f.told(0)["members"]["3"]["life"]
-    f.processes[3] = f.start(3)
-    f.until(lambda: f.all_see(ALIVE), 15)
-    assert f.told(0)["members"]["3"]["life"] > before
+    fleet.processes[3].kill()
+    seconds = fleet.until(lambda: fleet.all_see({3: "gone"}, (0, 1, 2)), 10)
+    assert seconds < 8
+    fleet.until(lambda: 1 in fleet.membership(2)["deaf"] and 2 in fleet.membership(1)["unheard_by"], 15)
+    assert fleet.all_see({0: "alive", 1: "alive", 2: "alive"}, (0, 1, 2)) and fleet.relay.seen["lost"] > 5
+    assert all(fleet.membership(n)["counts"]["gone"] <= 1 for n in range(3)), (
+        "no member but the killed one was declared gone"
+    )
+    incarnation = fleet.membership(0)["members"]["3"]["life"]
+    fleet.processes[3] = fleet.start(3)
+    fleet.until(lambda: fleet.all_see(ALIVE), 15)
+    assert fleet.membership(0)["members"]["3"]["life"] > incarnation
 
 
-@pytest.mark.parametrize("plain", [(), (2,)], ids=["as-shipped", "judges-before-it-asks"])
-def test_who_was_stopped_judges_nobody_before_it_has_asked(tmp_path, plain):
-    f = Fleet(tmp_path, plain=plain)
+@pytest.mark.parametrize(
+    "without_detection", [(), (2,)], ids=["with-pause-detection", "without-pause-detection"]
+)
+def test_suspended_process_declares_nobody_gone_before_catching_up(tmp_path, without_detection):
+    fleet = Fleet(tmp_path, without_pause_detection=without_detection)
     try:
-        f.until(lambda: f.all_see(ALIVE), 15)
-        f.relay.cut((n, 2) for n in (0, 1, 3))  # it hears nobody, and begins to suspect
-        f.until(lambda: "suspect" in [f.standing(n, 2) for n in (0, 1, 3)], 5)
-        f.signal(2, signal.SIGSTOP)
-        gevent.sleep(2)  # beyond its suspicion
-        f.signal(2, signal.SIGCONT)
-        gevent.sleep(0.3)  # nothing that waited in its socket can clear them
-        f.relay.sound()
-        f.until(lambda: f.all_see(ALIVE), 15)
-        told = f.told(2)["counts"]
-        assert (told["gone"] > 0) == bool(plain), told
-        assert told["paused"] == (not plain)
+        fleet.until(lambda: fleet.all_see(ALIVE), 15)
+        fleet.relay.cut((n, 2) for n in (0, 1, 3))  # it hears no member and begins to suspect them
+        fleet.until(lambda: "suspect" in [fleet.status(n, 2) for n in (0, 1, 3)], 5)
+        fleet.signal(2, signal.SIGSTOP)
+        gevent.sleep(2)  # longer than its suspicion timeout
+        fleet.signal(2, signal.SIGCONT)
+        gevent.sleep(0.3)  # nothing queued in its socket refutes the suspicions
+        fleet.relay.sound()
+        fleet.until(lambda: fleet.all_see(ALIVE), 15)
+        counts = fleet.membership(2)["counts"]
+        assert (counts["gone"] > 0) == bool(without_detection), counts
+        assert counts["paused"] == (not without_detection)
     finally:
-        f.close()
+        fleet.close()
 
 
-def test_all_are_restarted_in_a_row_while_datagrams_get_lost_doubled_and_late(fleet):
-    f = fleet()
-    f.until(lambda: f.all_see(ALIVE), 15)
-    f.relay.set(Way(lost=0.2, doubled=0.2, late=(0.0, 0.08)), f.relay.pairs())
-    lives = {}
+def test_rolling_restart_while_datagrams_are_lost_duplicated_and_delayed(start_fleet):
+    fleet = start_fleet()
+    fleet.until(lambda: fleet.all_see(ALIVE), 15)
+    fleet.relay.set(Way(lost=0.2, doubled=0.2, late=(0.0, 0.08)), fleet.relay.pairs())
+    old_incarnations = {}
     for number in range(4):
-        lives[number] = f.told(number)["members"][str(number)]["life"]
-        f.processes[number].kill()
-        f.processes[number].wait()
-        f.processes[number] = f.start(number)  # within a round of probes, under the same number
+        old_incarnations[number] = fleet.membership(number)["members"][str(number)]["life"]
+        fleet.processes[number].kill()
+        fleet.processes[number].wait()
+        fleet.processes[number] = fleet.start(number)  # under the same number, within one round of probes
         gevent.sleep(0.2)
 
-    def over_everywhere():
-        found = [f.told(at).get("members", {}) for at in range(4)]
-        return all(m.get(str(of), {}).get("life", 0) > life for m in found for of, life in lives.items())
+    def all_see_new_incarnations():
+        pages = [fleet.membership(at).get("members", {}) for at in range(4)]
+        return all(
+            members.get(str(of), {}).get("life", 0) > old
+            for members in pages
+            for of, old in old_incarnations.items()
+        )
 
-    f.until(over_everywhere, 20)  # the old lives
-    f.until(lambda: f.all_see(ALIVE), 20)
-    f.until(lambda: min(f.relay.seen[what] for what in ("lost", "doubled", "late")) > 10, 30)
-    f.until(lambda: f.all_see(ALIVE), 20)
+    fleet.until(all_see_new_incarnations, 20)
+    fleet.until(lambda: fleet.all_see(ALIVE), 20)
+    fleet.until(lambda: min(fleet.relay.seen[what] for what in ("lost", "doubled", "late")) > 10, 30)
+    fleet.until(lambda: fleet.all_see(ALIVE), 20)
 
 
-def test_half_cut_from_half_while_one_is_killed_on_each_side(tmp_path):
-    f = Fleet(tmp_path, size=6)
+def test_partition_with_a_kill_on_each_side_heals(tmp_path):
+    fleet = Fleet(tmp_path, size=6)
     try:
-        f.until(lambda: f.all_see({n: "alive" for n in range(6)}), 20)
-        f.relay.cut(f.relay.apart((0, 1, 2)))
-        f.processes[0].kill()
-        f.processes[5].kill()
-        own, far = {0: "gone", 1: "alive", 2: "alive"}, {3: "alive", 4: "alive", 5: "gone"}
-        f.until(lambda: f.all_see(own, (1, 2)) and f.all_see(far, (3, 4)), 15)
-        f.until(lambda: f.all_see({3: "gone", 4: "gone"}, (1, 2)), 15)
-        f.relay.sound()
-        f.until(lambda: f.all_see(own | far, (1, 2, 3, 4)), 30)
+        fleet.until(lambda: fleet.all_see({n: "alive" for n in range(6)}), 20)
+        fleet.relay.cut(fleet.relay.apart((0, 1, 2)))
+        fleet.processes[0].kill()
+        fleet.processes[5].kill()
+        first_half, second_half = {0: "gone", 1: "alive", 2: "alive"}, {3: "alive", 4: "alive", 5: "gone"}
+        fleet.until(lambda: fleet.all_see(first_half, (1, 2)) and fleet.all_see(second_half, (3, 4)), 15)
+        fleet.until(lambda: fleet.all_see({3: "gone", 4: "gone"}, (1, 2)), 15)
+        fleet.relay.sound()
+        fleet.until(lambda: fleet.all_see(first_half | second_half, (1, 2, 3, 4)), 30)
     finally:
-        f.close()
+        fleet.close()
