--- a/herongap/state/__init__.py
+++ b/herongap/state/__init__.py
@@ -1,19 +1,19 @@
-"""What a controller knows and must not lose: seats by tokens, and what a restart makes of what it finds.
+"""Persistent state of a controller: seats held by tokens, and recovery after a restart.
 
-Decides without I/O; the store and the calls to streamers are the daemon's.
+Decides without I/O; the store and the calls to streamers belong to the daemon.
 """
 
 from herongap.state.recovery import JournaledViewing, RecoveryAction, StreamerSession, ViewingStage, reconcile
 from herongap.state.seats import Seat, SeatRegistry, SeatRejection, SeatTerms
 
 __all__ = [
-    "RecoveryAction",
-    "StreamerSession",
     "JournaledViewing",
-    "ViewingStage",
-    "SeatRejection",
+    "RecoveryAction",
     "Seat",
     "SeatRegistry",
+    "SeatRejection",
     "SeatTerms",
+    "StreamerSession",
+    "ViewingStage",
     "reconcile",
 ]
--- a/herongap/state/recovery.py
+++ b/herongap/state/recovery.py
@@ -1,9 +1,8 @@
-"""What becomes of each viewing when a controller comes back: what it had kept, beside what streamers hold of
-its.
+"""Recovery of viewings after a restart: reconciles the journal with the sessions that streamers hold.
 
-A record is kept before the effect that depends on it (a tune-in, a rung, an end), so what a streamer holds is
-always kept or older than the store; and what is kept may never have happened. No viewing is set up by
-recovery: at most it is taken up again, or ended.
+A journal entry is written before the effect that depends on it (a tune-in, a rung, an end). So a session at a
+streamer is in the journal or older than the journal, and a journaled effect may never have happened. Recovery
+sets up no viewing: it adopts or ends what exists.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,15 +13,15 @@
 
 
 class ViewingStage(Enum):
-    """How far a viewing had got when it was kept last."""
+    """How far a viewing had got when it was last journaled."""
 
-    SENT = "sent"  # its tune-in was about to leave; its viewer has no answer
-    PLAYING = "playing"  # its viewer has been told
-    CLOSING = "closing"  # its end was about to be told to its streamer
+    SENT = "sent"  # its tune-in was about to be sent; the viewer has no answer
+    PLAYING = "playing"  # the viewer has its answer
+    CLOSING = "closing"  # the end was about to be sent to its streamer
 
 
 class JournaledViewing(NamedTuple):
-    """A viewing as the store has it."""
+    """A viewing as stored in the journal. `number` is the number of its tune-in."""
 
     viewing: Id
     number: int
@@ -33,7 +32,7 @@
 
 
 class StreamerSession(NamedTuple):
-    """A session that a streamer holds for this controller, by the name that its set-up carried."""
+    """A session that a streamer holds for this controller, identified as in its set-up request."""
 
     viewing: Id
     number: int
@@ -41,48 +40,49 @@
 
 
 class RecoveryAction(Enum):
-    ADOPT = "adopt"  # it plays on, and is controlled again
-    END = "end"  # it is ended at its streamer: nobody has it, or it was ending
-    RELEASE = "gone"  # it is over; its seat and load are free
-    WAIT = "wait"  # its streamer has not said: its seat counts, nothing is sent there for it
+    """What to do with a journaled viewing or a session."""
+
+    ADOPT = "adopt"  # it plays on and is controlled again
+    END = "end"  # end it at its streamer: it has no viewer, or it was closing
+    RELEASE = "gone"  # it has ended; its seat and load are free
+    WAIT = "wait"  # its streamer has not answered: the seat stays occupied and nothing is sent for it
 
 
 def reconcile(
-    kept: Iterable[JournaledViewing], found: Mapping[Id, Iterable[StreamerSession] | None]
+    journaled: Iterable[JournaledViewing], found: Mapping[Id, Iterable[StreamerSession] | None]
 ) -> list[tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]]:
-    """The fate of all that is kept or found: (fate, streamer, viewing), in the order in which it is to be
-    done.
+    """The action for each journaled viewing and session: (action, streamer, viewing), in execution order.
 
-    `found` has, for each streamer, what it holds, or None where it does not say. What a streamer holds under
-    another number than the store knows is an older tune-in that was called off: a ghost.
+    `found` maps each streamer to the sessions that it holds, or to None if it did not answer. A session under
+    another number than the journal has is an older, cancelled tune-in and is ended.
     """
     held = {
-        (streamer, f.viewing, f.number): f
-        for streamer, all_of_them in found.items()
-        for f in all_of_them or ()
+        (streamer, session.viewing, session.number): session
+        for streamer, sessions in found.items()
+        for session in sessions or ()
     }
-    fates: list[tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]] = []
-    for k in kept:
-        session = held.pop((k.streamer, k.viewing, k.number), None)
-        if found.get(k.streamer) is None:
-            fates.append((RecoveryAction.WAIT, k.streamer, k))
+    actions: list[tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]] = []
+    for entry in journaled:
+        session = held.pop((entry.streamer, entry.viewing, entry.number), None)
+        if found.get(entry.streamer) is None:
+            actions.append((RecoveryAction.WAIT, entry.streamer, entry))
         elif session is None:
-            fates.append((RecoveryAction.RELEASE, k.streamer, k))
-        elif k.stage is ViewingStage.PLAYING:
-            fates.append((RecoveryAction.ADOPT, k.streamer, k))
+            actions.append((RecoveryAction.RELEASE, entry.streamer, entry))
+        elif entry.stage is ViewingStage.PLAYING:
+            actions.append((RecoveryAction.ADOPT, entry.streamer, entry))
         else:
-            # Sent, and it runs: its viewer's connection ended with the old process, nobody has its answer.
-            fates.append((RecoveryAction.END, k.streamer, k))
-    fates += [(RecoveryAction.END, streamer, f) for (streamer, _, _), f in held.items()]
-    return sorted(fates, key=_order)
+            # Sent and running: the viewer's connection ended with the old process, so nobody has its answer.
+            actions.append((RecoveryAction.END, entry.streamer, entry))
+    actions += [(RecoveryAction.END, streamer, session) for (streamer, _, _), session in held.items()]
+    return sorted(actions, key=_execution_order)
 
 
-def _order(fate: tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]) -> tuple:
-    """What plays first, the dearest before others; then what only takes up room."""
-    what, streamer, viewing = fate
+def _execution_order(action: tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]) -> tuple:
+    """Playing viewings first, by falling value, then those that only occupy capacity."""
+    kind, streamer, viewing = action
     value = viewing.value if isinstance(viewing, JournaledViewing) else 0.0
     return (
-        [RecoveryAction.ADOPT, RecoveryAction.RELEASE, RecoveryAction.END, RecoveryAction.WAIT].index(what),
+        [RecoveryAction.ADOPT, RecoveryAction.RELEASE, RecoveryAction.END, RecoveryAction.WAIT].index(kind),
         -value,
         str(streamer),
     )
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Seats by tokens, and what recovery makes of what it finds."""
+"""Seats with fencing tokens, and recovery of viewings after a restart."""
 
 from collections import Counter
 
@@ -21,10 +21,10 @@
 TERMS = {"paid": SeatTerms(2, 10.0), "strict": SeatTerms(2, 10.0, transferable=False)}
 
 
-def test_a_seat_is_one_however_often_it_is_asked_for_and_moves_with_its_editor():
+def test_repeated_grant_returns_one_seat_and_a_transfer_fences_the_old_device():
     seats = SeatRegistry(TERMS)
     first = seats.grant(0.0, "news", "paid", "ann", "phone")
-    assert seats.grant(1.0, "news", "paid", "ann", "phone") == first, "a repeated set-up counts once"
+    assert seats.grant(1.0, "news", "paid", "ann", "phone") == first, "a repeated request counts once"
     second = seats.grant(2.0, "news", "paid", "ann", "desk")
     assert second.fence > first.fence and len(seats.held["news", "paid"]) == 1
     assert seats.renew(3.0, first) is SeatRejection.STALE and not seats.release(3.0, first)
@@ -33,7 +33,7 @@
     assert seats.grant(3.0, "news", "strict", "ann", "desk") is SeatRejection.HELD
 
 
-def test_a_renewal_that_comes_after_the_end_brings_nothing_back():
+def test_renewal_after_expiry_does_not_restore_the_seat():
     seats = SeatRegistry(TERMS)
     ann, bob = (seats.grant(0.0, "news", "paid", name, "d") for name in ("ann", "bob"))
     assert seats.grant(9.9, "news", "paid", "cid", "d") is SeatRejection.FULL
@@ -42,48 +42,48 @@
     assert not seats.release(10.1, bob) and seats.release(10.1, cid) and not seats.held
 
 
-def test_a_restart_gives_no_number_twice_and_no_seat_above_the_terms():
+def test_restart_reuses_no_fence_and_grants_no_seat_above_capacity():
     seats = SeatRegistry(TERMS)
-    kept = [seats.grant(0.0, "news", "paid", name, "d") for name in ("ann", "bob")]
-    again = SeatRegistry(TERMS)
-    assert not again.restore(500.0, kept, 4.0)
-    assert again.grant(500.0, "news", "paid", "cid", "d") is SeatRejection.FULL
-    assert again.renew(505.9, kept[0]).fence == kept[0].fence
-    assert again.grant(506.0, "news", "paid", "cid", "d").fence == 3, (
-        "bob's had ended, its number is not reused"
+    stored = [seats.grant(0.0, "news", "paid", name, "d") for name in ("ann", "bob")]
+    restarted = SeatRegistry(TERMS)
+    assert not restarted.restore(500.0, stored, 4.0)
+    assert restarted.grant(500.0, "news", "paid", "cid", "d") is SeatRejection.FULL
+    assert restarted.renew(505.9, stored[0]).fence == stored[0].fence
+    assert restarted.grant(506.0, "news", "paid", "cid", "d").fence == 3, (
+        "bob's seat had expired; its fence is not reused"
     )
     late = SeatRegistry(TERMS)
-    assert len(late.restore(0.0, kept, 3600.0)) == 2 and late.fence == 2
+    assert len(late.restore(0.0, stored, 3600.0)) == 2 and late.fence == 2
 
 
 class SeatMachine(RuleBasedStateMachine):
-    """Editors, devices, lost and late messages, restarts; a model of who may hold what."""
+    """Random grants, lost and late requests, and restarts, against the invariants of the seats."""
 
     @initialize()
     def begin(self):
-        self.now, self.seats, self.tokens, self.given = 0.0, SeatRegistry(TERMS), [], []
+        self.now, self.seats, self.tokens, self.fences = 0.0, SeatRegistry(TERMS), [], []
 
     @rule(
         editor=st.sampled_from("abcd"),
         device=st.sampled_from("xy"),
         package=st.sampled_from(["paid", "strict"]),
     )
-    def ask(self, editor, device, package):
+    def grant(self, editor, device, package):
         seat = self.seats.grant(self.now, "t", package, editor, device)
         if isinstance(seat, Seat):
-            if seat.fence not in self.given:
-                assert not self.given or seat.fence > max(self.given), "numbers only grow"
-                self.given.append(seat.fence)
+            if seat.fence not in self.fences:
+                assert not self.fences or seat.fence > max(self.fences), "fences only grow"
+                self.fences.append(seat.fence)
             self.tokens.append(seat)
 
     @precondition(lambda self: self.tokens)
     @rule(data=st.data(), release=st.booleans())
-    def old_message(self, data, release):
+    def present_token(self, data, release):
         token = data.draw(st.sampled_from(self.tokens))
         newest = max(t.fence for t in self.tokens if (t.pool, t.editor) == (token.pool, token.editor))
-        taken = self.seats.release(self.now, token) if release else self.seats.renew(self.now, token)
+        result = self.seats.release(self.now, token) if release else self.seats.renew(self.now, token)
         if token.fence < newest:
-            assert taken in (False, SeatRejection.STALE), "an older token does nothing"
+            assert result in (False, SeatRejection.STALE), "an older token has no effect"
 
     @rule(seconds=st.floats(0.1, 12.0))
     def wait(self, seconds):
@@ -92,15 +92,15 @@
     @rule(away=st.floats(0.0, 15.0))
     def restart(self, away):
         self.seats.expire(self.now)
-        kept = [
+        stored = [
             s._replace(until=s.until - self.now) for pool in self.seats.held.values() for s in pool.values()
         ]
-        fence, self.now = self.seats.fence, 1000.0 * len(self.given)
+        fence, self.now = self.seats.fence, 1000.0 * len(self.fences)
         self.seats = SeatRegistry(TERMS, fence)
-        self.seats.restore(self.now, kept, away)
+        self.seats.restore(self.now, stored, away)
 
     @invariant()
-    def never_above_the_terms(self):
+    def never_above_capacity(self):
         self.seats.expire(self.now)
         for (_, package), held in self.seats.held.items():
             assert 0 < len(held) <= TERMS[package].capacity
@@ -113,50 +113,52 @@
 # Recovery.
 
 
-def kept(viewing, known=ViewingStage.PLAYING, number=0, streamer="s", value=1.0):
-    return JournaledViewing(viewing, number, streamer, known, 1, value)
+def journaled(viewing, stage=ViewingStage.PLAYING, number=0, streamer="s", value=1.0):
+    return JournaledViewing(viewing, number, streamer, stage, 1, value)
 
 
-def fates(*args):
-    return {(fate, v.viewing, v.number) for fate, _, v in reconcile(*args)}
+def actions(*args):
+    return {(action, v.viewing, v.number) for action, _, v in reconcile(*args)}
 
 
-def test_each_kind_of_find_has_its_fate():
-    had = [
-        kept("plays"),
-        kept("ended"),
-        kept("sent", ViewingStage.SENT),
-        kept("never", ViewingStage.SENT),
-        kept("closing", ViewingStage.CLOSING),
+def test_action_for_each_combination_of_journal_and_sessions():
+    entries = [
+        journaled("plays"),
+        journaled("ended"),
+        journaled("sent", ViewingStage.SENT),
+        journaled("never", ViewingStage.SENT),
+        journaled("closing", ViewingStage.CLOSING),
     ]
-    there = [
+    sessions = [
         StreamerSession("plays", 0, 1),
         StreamerSession("sent", 0, 1),
         StreamerSession("closing", 0, 1),
         StreamerSession("ghost", 3, 1),
     ]
-    assert fates(had, {"s": there}) == {
+    assert actions(entries, {"s": sessions}) == {
         (RecoveryAction.ADOPT, "plays", 0), (RecoveryAction.RELEASE, "ended", 0),
         (RecoveryAction.END, "sent", 0), (RecoveryAction.RELEASE, "never", 0),
         (RecoveryAction.END, "closing", 0), (RecoveryAction.END, "ghost", 3),
     }  # fmt: skip
-    assert {fate for fate, *_ in reconcile(had, {"s": None})} == {RecoveryAction.WAIT}, "silence says nothing"
-    assert {fate for fate, *_ in reconcile(had, {})} == {RecoveryAction.WAIT}
+    assert {action for action, *_ in reconcile(entries, {"s": None})} == {RecoveryAction.WAIT}, (
+        "no answer proves nothing"
+    )
+    assert {action for action, *_ in reconcile(entries, {})} == {RecoveryAction.WAIT}
 
 
-def test_an_older_tune_in_of_a_viewing_that_plays_elsewhere_is_a_ghost():
-    assert fates([kept("v", number=2, streamer="b")],
-                 {"a": [StreamerSession("v", 1, 0)], "b": [StreamerSession("v", 2, 0)]}) == {
+def test_older_tune_in_of_a_viewing_that_plays_elsewhere_is_ended():
+    assert actions([journaled("v", number=2, streamer="b")],
+                   {"a": [StreamerSession("v", 1, 0)], "b": [StreamerSession("v", 2, 0)]}) == {
         (RecoveryAction.ADOPT, "v", 2), (RecoveryAction.END, "v", 1),
     }  # fmt: skip
 
 
-def test_a_streamer_that_started_anew_holds_nothing_and_what_plays_comes_first():
-    assert fates([kept("v")], {"s": []}) == {(RecoveryAction.RELEASE, "v", 0)}
-    had = [kept("cheap"), kept("dear", value=9.0), kept("out", ViewingStage.SENT)]
+def test_restarted_streamer_holds_nothing_and_playing_viewings_come_first():
+    assert actions([journaled("v")], {"s": []}) == {(RecoveryAction.RELEASE, "v", 0)}
+    entries = [journaled("cheap"), journaled("dear", value=9.0), journaled("out", ViewingStage.SENT)]
     order = [
         v.viewing
-        for _, _, v in reconcile(had, {"s": [StreamerSession(v, 0, 1) for v in ("cheap", "dear", "out")]})
+        for _, _, v in reconcile(entries, {"s": [StreamerSession(v, 0, 1) for v in ("cheap", "dear", "out")]})
     ]
     assert order == ["dear", "cheap", "out"]
 
@@ -171,16 +173,16 @@
         st.none() | st.lists(st.tuples(st.integers(0, 7), st.integers(0, 2)), unique=True, max_size=6),
     ),
 )  # fmt: skip
-def test_nothing_is_lost_doubled_or_set_up(had, there):
-    had = [JournaledViewing(v, n, s, known, 1) for v, n, s, known in had]
-    there = {
+def test_every_viewing_and_session_gets_exactly_one_action(entries, sessions):
+    entries = [JournaledViewing(v, n, s, stage, 1) for v, n, s, stage in entries]
+    sessions = {
         s: None if found is None else [StreamerSession(v, n, 1) for v, n in found]
-        for s, found in there.items()
+        for s, found in sessions.items()
     }
-    told = reconcile(had, there)
-    counted = Counter((s, v.viewing, v.number) for _, s, v in told)
-    wanted = {(k.streamer, k.viewing, k.number) for k in had}
-    wanted |= {(s, f.viewing, f.number) for s, found in there.items() for f in found or ()}
-    assert counted.keys() == wanted and set(counted.values()) <= {1}
-    adopted = Counter(v.viewing for fate, _, v in told if fate is RecoveryAction.ADOPT)
-    assert all(n == 1 for n in adopted.values()), "no viewing is taken up twice"
+    results = reconcile(entries, sessions)
+    counted = Counter((s, v.viewing, v.number) for _, s, v in results)
+    expected = {(k.streamer, k.viewing, k.number) for k in entries}
+    expected |= {(s, f.viewing, f.number) for s, found in sessions.items() for f in found or ()}
+    assert counted.keys() == expected and set(counted.values()) <= {1}
+    adopted = Counter(v.viewing for action, _, v in results if action is RecoveryAction.ADOPT)
+    assert all(n == 1 for n in adopted.values()), "no viewing is adopted twice"
