--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -22,7 +22,7 @@
 from herongap.daemon.listen import listen
 from herongap.daemon.run import Daemon
 from herongap.daemon.wire import Pool, Server
-from herongap.dash import Checker, Grant, mint, new_key, published
+from herongap.dash import TokenClaims, TokenVerifier, generate_key, mint, public_jwks
 from herongap.http import Reply
 from herongap.ini import read_site
 from herongap.intake import Bounds
@@ -91,17 +91,17 @@
     p.join()
     bare = Server(listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), Bounds())
     pools = [Pool(b.daemon.address, 1.0), Pool(bare.address, 1.0)]
-    ratios, key = [], new_key("k")
+    ratios, key = [], generate_key("k")
     for _ in range(5):
         mine = paced(lambda: pools[0].call("GET", p.location, (), b"", 2.0), 1.0)
         theirs = paced(lambda: pools[1].call("GET", "/", (), b"", 2.0), 1.0)
         ratios.append(mine / theirs)
     now = time.time()
-    grant = Grant("v", "1", "web", "", 0, 2, "s0", now, now + 60)
+    grant = TokenClaims("v", "1", "web", "", 0, 2, "s0", now, now + 60)
     tokens = [mint(key, grant._replace(viewing=f"v{i}")) for i in range(2000)]
-    checker, i = Checker("s0", published([key])), iter(tokens * 50)
-    first = paced(lambda: checker.check(now, next(i), "1"), 0.4)
-    again = paced(lambda: checker.check(now, tokens[-1], "1"), 0.4)
+    checker, i = TokenVerifier("s0", public_jwks([key])), iter(tokens * 50)
+    first = paced(lambda: checker.verify(now, next(i), "1"), 0.4)
+    again = paced(lambda: checker.verify(now, tokens[-1], "1"), 0.4)
     print(json.dumps({
         "manifests a second": round(mine), "bare handler": round(theirs),
         "ratio": [round(r, 3) for r in sorted(ratios)], "tokens checked a second": round(first),
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -15,7 +15,7 @@
 from herongap.daemon.wire import Call, Pool, Server
 from herongap.http import SDP, Reply, problem
 from herongap.ini import read_list, read_site
-from herongap.whip import check_offer, created
+from herongap.whip import check_offer, created_reply
 
 
 def main(file: str) -> None:
@@ -40,7 +40,7 @@
                     return problem("aborted")
                 remote, name = read_remote("s", target, reply), str(next(numbers))
                 sessions[name] = address, remote
-                return created(f"/sessions/{name}", remote.tag, remote.answer)
+                return created_reply(f"/sessions/{name}", remote.tag, remote.answer)
             address, remote = sessions[path[1]]
             if request.method == "DELETE":
                 del sessions[path[1]]
--- a/herongap/cli/budgets.py
+++ b/herongap/cli/budgets.py
@@ -118,14 +118,14 @@
     if name not in store.site.wholes:
         raise click.ClickException(f"{file}: no [budget {name}]")
     for _ in range(20):
-        reply = store.call("/v3/kv/range", m.range_body(key, b""), m.Range)
+        reply = store.call("/v3/kv/range", m.range_body(key, b""), m.RangeResponse)
         there = reply.kvs[0] if reply.kvs else None
         try:
             data = with_whole(there.value if there else None, whole, unused)
         except ValueError as fault:
             raise click.ClickException(f"{key}: not understood, left as it is: {fault}") from fault
         base = there.mod_revision if there else 0
-        answer = store.call("/v3/kv/txn", m.swap_body(key, base, data), m.Txn)
+        answer = store.call("/v3/kv/txn", m.swap_body(key, base, data), m.TxnResponse)
         if answer.succeeded:
             click.echo(f"{name}: whole {whole}, revision {answer.header.revision}")
             return
--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -40,14 +40,14 @@
 
     def call(self, path: str, body: bytes, kind: type):
         from herongap.daemon.etcd import NETWORK
-        from herongap.etcd import Refused
+        from herongap.etcd import EtcdError
 
         faults = []
         for address in self.terms.endpoints:
             try:
                 return self.client.call(address, path, body, kind)
             except NETWORK as fault:
-                if isinstance(fault, Refused):
+                if isinstance(fault, EtcdError):
                     raise click.ClickException(f"{address}: {fault}") from fault
                 faults.append(f"{address}: {fault!r}")
         click.echo("no member of etcd can be reached\n" + "\n".join(faults), err=True)
@@ -61,7 +61,7 @@
         from herongap.etcd import messages as m
 
         prefix = self.terms.prefix
-        reply = self.call("/v3/kv/range", m.range_body(prefix, m.end_of(prefix)), m.Range)
+        reply = self.call("/v3/kv/range", m.range_body(prefix, m.prefix_end(prefix)), m.RangeResponse)
         return reply.header.revision, {kv.key.decode("utf-8", "replace"): kv for kv in reply.kvs}
 
     def read(self) -> tuple[int, dict[str, bytes]]:
@@ -72,12 +72,12 @@
     def put(self, key: str, value: bytes) -> int:
         from herongap.etcd import messages as m
 
-        return self.call("/v3/kv/put", m.put_body(key, value), m.Put).header.revision
+        return self.call("/v3/kv/put", m.put_body(key, value), m.PutResponse).header.revision
 
     def delete(self, key: str) -> int:
         from herongap.etcd import messages as m
 
-        return self.call("/v3/kv/deleterange", m.delete_body(key), m.Put).header.revision
+        return self.call("/v3/kv/deleterange", m.delete_body(key), m.PutResponse).header.revision
 
 
 @lists.command()
@@ -111,21 +111,23 @@
 
 
 def _stands(store: Store) -> dict:
-    from herongap.etcd import Change, Directory, Item
+    from herongap.etcd import KeyChange, KeyEntry, Registry
 
     revision, found = store.read()
-    directory = Directory(store.terms.prefix, 0.0)
-    directory.take(0.0, [Change(key, None, Item(value, 0, 0)) for key, value in found.items()], first=True)
+    directory = Registry(store.terms.prefix, 0.0)
+    directory.apply(
+        0.0, [KeyChange(key, None, KeyEntry(value, 0, 0)) for key, value in found.items()], first=True
+    )
     streamers = {
         str(line.streamer): {
             "standing": line.status.name.lower(), "address": "{}:{}".format(*value.address),
             "zone": line.zone, "kind": line.kind, "rack": line.rack, "started": line.started,
         }
-        for line in directory.whole() for value in [directory.streamers[line.streamer]]
+        for line in directory.all_entries() for value in [directory.streamers[line.streamer]]
     }  # fmt: skip
     controllers = {str(n): name for n, name in sorted(directory.controllers.items())}
     lost = sorted(directory.drains - set(streamers))
-    source = {"state": "etcd", "revision": revision, "bad": directory.bad, "controllers": controllers,
+    source = {"state": "etcd", "revision": revision, "bad": directory.bad_values, "controllers": controllers,
               "drains": sorted(directory.drains), "drains_of_nobody": lost}  # fmt: skip
     return {"streamers": streamers, "source": source}
 
@@ -184,7 +186,7 @@
 @click.option("--by", default="", help="Who drains; kept with it.")
 def drain(file: Path, streamers: tuple[str, ...], reason: str, by: str) -> None:
     """Send no new work to STREAMERS; what plays there plays on. Tells the revision from which that holds."""
-    from herongap.etcd.keys import changed_value
+    from herongap.etcd.keys import update_value
 
     store = Store(file)
     _, found = store.read()
@@ -192,7 +194,7 @@
     if unknown:
         raise click.ClickException(f"not in the list: {', '.join(unknown)}; nothing was drained")
     for name in streamers:
-        value = changed_value(None, since=time.time(), by=by, reason=reason)
+        value = update_value(None, since=time.time(), by=by, reason=reason)
         click.echo(f"{name}: drained from revision {store.put(store.key('drains', name), value)}")
 
 
@@ -221,7 +223,7 @@
     What is the same already is left alone; fields that SOURCE does not know are kept. Standing "leaving" puts
     a drain, "active" ends one, "left" deletes the streamer.
     """
-    from herongap.etcd.keys import Bad, changed_value, read_value
+    from herongap.etcd.keys import InvalidValueError, decode_value, update_value
 
     try:
         entries = msgspec.json.decode(source.read_bytes(), type=List).streamers
@@ -240,16 +242,14 @@
         if fields["started"] is None:
             del fields["started"]
         try:
-            value = changed_value(found.get(key), **fields)
-            read_value("streamers", value)
-        except Bad as fault:
+            value = update_value(found.get(key), **fields)
+            decode_value("streamers", value)
+        except InvalidValueError as fault:
             raise click.ClickException(f"{entry.id}: {fault}; nothing was put") from fault
         if key not in found or msgspec.json.decode(found[key]) != msgspec.json.decode(value):
             puts.append((key, value))
         if entry.standing == "leaving" and drain_key not in found:
-            puts.append(
-                (drain_key, changed_value(None, since=time.time(), reason=f"import of {source.name}"))
-            )
+            puts.append((drain_key, update_value(None, since=time.time(), reason=f"import of {source.name}")))
         if entry.standing == "active" and drain_key in found:
             gone.append(drain_key)
     if delete_others:
--- a/herongap/cli/token.py
+++ b/herongap/cli/token.py
@@ -51,10 +51,16 @@
     if jwks:
         click.echo(json.dumps(held.jwks(now)))
         return
-    signing = held.ring.signing(now)
-    for key in held.ring.published(now):
-        use = "signs" if key == signing else "published ahead" if key.made > signing.made else "checks only"
-        click.echo(f"{key.kid}  made {time.strftime('%F %T', time.gmtime(key.made))} UTC  {use}")
+    signing = held.ring.signing_key(now)
+    for key in held.ring.published_keys(now):
+        use = (
+            "signs"
+            if key == signing
+            else "published ahead"
+            if key.created_at > signing.created_at
+            else "checks only"
+        )
+        click.echo(f"{key.kid}  made {time.strftime('%F %T', time.gmtime(key.created_at))} UTC  {use}")
 
 
 @token.command("mint")
@@ -71,7 +77,7 @@
 @click.option("--seconds", default=60.0, show_default=True)
 def mint_(folder, rotate, ahead, longest, viewing, title, streamer, package, member, rungs, seconds) -> None:
     """Make a token, for trying a streamer by hand."""
-    from herongap.dash import Grant
+    from herongap.dash import TokenClaims
 
     floor, _, top = rungs.partition("-")
     if not (floor.isdigit() and top.isdigit() and int(floor) <= int(top)):
@@ -79,7 +85,7 @@
     if not 0 < seconds <= longest:
         raise click.UsageError(f"--seconds: above 0, at most --longest ({longest:g})")
     now = time.time()
-    grant = Grant(viewing, title, package, member, int(floor), int(top), streamer, now, now + seconds)
+    grant = TokenClaims(viewing, title, package, member, int(floor), int(top), streamer, now, now + seconds)
     click.echo(_load(folder, rotate, ahead, longest).mint(now, grant))
 
 
@@ -90,13 +96,13 @@
 @click.option("--title", required=True)
 def verify(word: str, jwks: Path, streamer: str, title: str) -> None:
     """Check a token as a streamer does; exit code 1 and the reason if it is not taken."""
-    from herongap.dash import Checker, Refusal
+    from herongap.dash import TokenError, TokenVerifier
 
     try:
-        grant = Checker(streamer, json.loads(jwks.read_text())).check(time.time(), word, title)
+        grant = TokenVerifier(streamer, json.loads(jwks.read_text())).verify(time.time(), word, title)
     except ValueError as fault:
         raise refused(fault, f"{jwks}: ") from fault
-    except Refusal as why:
+    except TokenError as why:
         click.echo(f"refused: {why.kind}" + (f" {why.kid!r}" if why.kid else ""), err=True)
         sys.exit(1)
     click.echo(json.dumps(grant._asdict()))
--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -8,7 +8,7 @@
 
 from herongap.accord import Commit, Kind, Shares, Tally, Terms
 from herongap.etcd import messages as m
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 from herongap.ini.parts import WholeTerms
 
 LOOK = 0.05  # seconds between two looks at what is due; what is heard comes sooner
@@ -41,13 +41,13 @@
         self.nudge = Event()
         self.unknown = 0  # commits without an answer so far
 
-    def heard(self, revision: int, items: Mapping[str, Item]) -> None:
+    def heard(self, revision: int, items: Mapping[str, KeyEntry]) -> None:
         """The list has got to a revision: each document as it is there."""
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
             bad = shares.bad
-            shares.shown(now, revision, item.mod if item else 0, item.value if item else None)
+            shares.shown(now, revision, item.mod_revision if item else 0, item.value if item else None)
             if shares.bad and shares.bad != bad:
                 log.error("budget not understood, nothing of it is used", budget=name, cause=shares.bad)
         self.nudge.set()
@@ -126,7 +126,7 @@
             shares.unanswered(self.clock(), commit)
             return
         at = reply.header.revision
-        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.shown
+        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.conflict
         shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
         self.nudge.set()
 
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -19,7 +19,15 @@
 from herongap.daemon.keys import Keys
 from herongap.daemon.session import Session
 from herongap.daemon.wire import Peer
-from herongap.dash import MPD, Asset, Doubt, Grant, Video, manifest, read_cmcd
+from herongap.dash import (
+    MPD_MEDIA_TYPE,
+    Asset,
+    EarlyReloadDetector,
+    TokenClaims,
+    Video,
+    build_manifest,
+    read_cmcd,
+)
 from herongap.host import ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini.parts import DashPart
@@ -48,7 +56,7 @@
     turn: int = 0
     session: Session | None = None
     closed: bool = False
-    doubt: Doubt = field(default_factory=Doubt)
+    doubt: EarlyReloadDetector = field(default_factory=EarlyReloadDetector)
 
 
 class Dash:
@@ -152,7 +160,7 @@
                     self.door.host.left(self.door.clock(), session.viewing)
                     return problem("manifest-over")
                 if line.session is not session:
-                    line.session, line.doubt = session, Doubt()
+                    line.session, line.doubt = session, EarlyReloadDetector()
                 life = self._life(session)
             if life:
                 return self._write(line, session, life, request)
@@ -160,11 +168,11 @@
 
     def _given_up(self, line: Line, session: Session, life) -> bool:
         """Whether a viewing that its player seems not to be served by any more was ended just now."""
-        if not line.doubt.asked(self.door.clock(), self._update):
+        if not line.doubt.manifest_requested(self.door.clock(), self._update):
             return False
         number, there = life.number, self.door.port.there(session.remote)
         now = self.door.clock()
-        if not line.doubt.answered(now, there) or self._life(session) is not life:
+        if not line.doubt.streamer_answered(now, there) or self._life(session) is not life:
             return False
         log.info("player believed", viewing=session.viewing, streamer=life.streamer, there=there)
         if there is None:
@@ -192,7 +200,7 @@
         now, package = self.wall(), self.door.packages[line.package]
         streamer, member = str(life.streamer), self.door.site.tokens[line.owner].member if line.owner else ""
         # The rung that the module allows now is the token's top: a raise comes with the next manifest.
-        grant = Grant(
+        grant = TokenClaims(
             f"{self.door.port.name}/{session.viewing}", line.title, line.package, member,
             min(package.floor, life.rung), life.rung, streamer, now, now + self.terms.token,
         )  # fmt: skip
@@ -201,9 +209,11 @@
         base = f"http://{host}:{port}/dash/{quote(line.title, safe='')}/{token}/"
         near = self.terms.url or f"http://{request.headers.get('host', '')}"
         location = f"{near}/manifests/{line.secret}"
-        body = manifest(self._asset(line.title), grant.floor, grant.top, base, location, now, self._update)
+        body = build_manifest(
+            self._asset(line.title), grant.floor, grant.top, base, location, now, self._update
+        )
         told = (
-            ("Content-Type", MPD), ("Cache-Control", "no-store"), ("Content-Location", location),
+            ("Content-Type", MPD_MEDIA_TYPE), ("Cache-Control", "no-store"), ("Content-Location", location),
             ("ETag", f'"{line.turn - 1}"'), *OPEN,
         )  # fmt: skip
         return Reply(200, told, body)
@@ -212,8 +222,8 @@
         recorded = self.door.catalogue.lengths.get(title)
         if recorded is None:
             # A live title's segments are counted from the epoch, so that all fronts count alike.
-            return Asset(self._videos, self.terms.segment, began=0.0)
-        return Asset(self._videos, self.terms.segment, length=recorded)
+            return Asset(self._videos, self.terms.segment, start_time=0.0)
+        return Asset(self._videos, self.terms.segment, duration_seconds=recorded)
 
     def _reported(self, request: Request) -> dict:
         return read_cmcd(request.query.get("CMCD"), request.headers)
--- a/herongap/daemon/door.py
+++ b/herongap/daemon/door.py
@@ -19,7 +19,7 @@
 from herongap.daemon.streamers import Streamers
 from herongap.daemon.wire import Hung, Peer
 from herongap.host import Host, RepeatDetector, RepeatMatch
-from herongap.http import Reply, Request, bearer, problem
+from herongap.http import Reply, Request, bearer_token, problem
 from herongap.ini import Catalogue, Site
 from herongap.intake import Intake
 from herongap.interface import EndReason, ViewingRequest
@@ -69,7 +69,7 @@
         if not self.site.tokens:
             return None
         challenge = [("WWW-Authenticate", 'Bearer realm="herongap"')]
-        given = bearer(request)
+        given = bearer_token(request)
         if given is None:
             return problem("no-credentials", headers=challenge)
         found = None
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -13,14 +13,24 @@
 from herongap.daemon.listen import read_address
 from herongap.daemon.remembered import Remembered
 from herongap.daemon.wire import Call, Hung, Pool
-from herongap.etcd import Directory, Endpoints, Follower, Frames, Membership, Need, Refused, Step, Told
+from herongap.etcd import (
+    EndpointSelector,
+    EtcdError,
+    LeaseRequest,
+    LineSplitter,
+    Membership,
+    MessageOutcome,
+    NextAction,
+    PrefixFollower,
+    Registry,
+)
 from herongap.etcd import messages as m
-from herongap.etcd.keys import changed_value
+from herongap.etcd.keys import update_value
 from herongap.ini.parts import Etcd
 
-DOUBT = 0.1  # seconds between two looks at whether the lease still holds; MARGIN covers it
+DOUBT = 0.1  # seconds between two looks at whether the lease still holds; CLOCK_MARGIN_SECONDS covers it
 PAGE = 1000  # keys of one page of a read
-NETWORK = (OSError, Hung, h11.RemoteProtocolError, Refused, m.Garbled)
+NETWORK = (OSError, Hung, h11.RemoteProtocolError, EtcdError, m.MalformedReplyError)
 log = structlog.get_logger()
 
 
@@ -42,11 +52,11 @@
         return told + ([("Authorization", self.token)] if self.token else [])
 
     def call(self, address: str, path: str, body: bytes, kind: type):
-        """One request; raises OSError, Refused or Garbled. An expired token is made anew, once."""
+        """One request; raises OSError, EtcdError or MalformedReplyError. An expired token is renewed once."""
         try:
             return self._call(address, path, body, kind, self.headers(address))
-        except Refused as fault:
-            if fault.code != m.UNAUTHENTICATED or not self.terms.user:
+        except EtcdError as fault:
+            if fault.code != m.GRPC_UNAUTHENTICATED or not self.terms.user:
                 raise
         self.forget_token()
         return self._call(address, path, body, kind, self.headers(address))
@@ -57,15 +67,17 @@
             pool = self.pools[address] = Pool(read_address(address), self.terms.connect)
         reply = pool.call("POST", path, headers, body, self.terms.time_out)
         if reply.status != 200:
-            raise m.refusal(reply.body)
-        return m.read(reply.body, kind)
+            raise m.decode_error(reply.body)
+        return m.decode_reply(reply.body, kind)
 
     def forget_token(self) -> None:
         self.token = ""
 
     def _authenticate(self, address: str) -> None:
         body = m.authenticate_body(self.terms.user, self.terms.secret())
-        self.token = self._call(address, "/v3/auth/authenticate", body, m.Token, self._headers()).token
+        self.token = self._call(
+            address, "/v3/auth/authenticate", body, m.AuthenticateResponse, self._headers()
+        ).token
 
     def close(self) -> None:
         for pool in self.pools.values():
@@ -85,11 +97,11 @@
         self.terms, self.name, self.clock = terms, name, clock
         self.listed, self.counted = listed, counted
         self.client = Client(terms, name)
-        self.endpoints = Endpoints(terms.endpoints, seed)
+        self.endpoints = EndpointSelector(terms.endpoints, seed)
         # A member that is cut off from its peers still shows what it had, and takes nothing.
-        self.takers = Endpoints(terms.endpoints, seed)
-        self.follower = Follower()
-        self.directory = Directory(terms.prefix, epoch(clock))
+        self.takers = EndpointSelector(terms.endpoints, seed)
+        self.follower = PrefixFollower()
+        self.directory = Registry(terms.prefix, epoch(clock))
         self.membership = Membership(number, expected, terms.ttl)
         self.key = f"{terms.prefix}controllers/{number}"
         self.life, self.failing = -1, False  # the revision of our claim; whether a renewal has failed
@@ -109,7 +121,7 @@
             return "following"
         if self.known_at is None:
             return "remembered" if self.from_store else "starting"
-        return "reading" if self.follower.need is Need.READ else "lost"
+        return "reading" if self.follower.next_action is NextAction.READ else "lost"
 
     def told(self) -> dict:
         """Where the list stands, for operators."""
@@ -117,11 +129,12 @@
         age = None if self.known_at is None else round(now - self.known_at, 3)
         controllers = {str(n): name for n, name in sorted(self.directory.controllers.items())}
         return {
-            "state": self.state, "revision": f.revision, "seen": f.seen, "cluster": f"{f.cluster:x}",
-            "age": age, "counts": f.counts, "bad": self.directory.bad,
+            "state": self.state, "revision": f.revision, "seen": f.highest_revision,
+            "cluster": f"{f.cluster:x}",
+            "age": age, "counts": f.counts, "bad": self.directory.bad_values,
             "drains": sorted(self.directory.drains),
             "controllers": controllers, "number": self.membership.number,
-            "holds_number": self.membership.holds(now), "place": self.place and list(self.place),
+            "holds_number": self.membership.holds_number(now), "place": self.place and list(self.place),
             "budgets": self.budgets.told() if self.budgets else {},
         }  # fmt: skip
 
@@ -129,7 +142,7 @@
         """Take what is remembered, then follow; gives the greenlets that do."""
         kept = self.store.load() if self.store else None
         if kept:
-            self.follower = Follower(*kept)
+            self.follower = PrefixFollower(*kept)
             self.from_store = True
             self._publish("remembered", first=True)
             log.warning("list remembered", streamers=len(self.directory.streamers), revision=kept[1])
@@ -144,52 +157,52 @@
         while True:
             address = self.endpoints.choose(self.clock())
             try:
-                if self.follower.need is Need.READ:
+                if self.follower.next_action is NextAction.READ:
                     self._read(address)
                 else:
                     self._watch(address)
             except NETWORK as fault:
-                self.endpoints.failed(address)
-                if isinstance(fault, Refused) and fault.code == m.UNAUTHENTICATED:
+                self.endpoints.mark_failed(address)
+                if isinstance(fault, EtcdError) and fault.code == m.GRPC_UNAUTHENTICATED:
                     self.client.forget_token()
                 log.warning("etcd failed", member=address, cause=repr(fault), state=self.state)
             except Exception:
                 # A fault of ours: a list that has silently stopped would be worse than one that is tried on.
-                self.endpoints.failed(address)
+                self.endpoints.mark_failed(address)
                 log.exception("the list could not be taken", member=address)
-            gevent.sleep(self.endpoints.wait())
+            gevent.sleep(self.endpoints.retry_delay())
 
     def _read(self, address: str) -> None:
-        told = Told.PART
-        while told is Told.PART:
-            after, revision = self.follower.read_from()
+        told = MessageOutcome.PARTIAL
+        while told is MessageOutcome.PARTIAL:
+            after, revision = self.follower.next_page_start()
             first = after.encode("utf-8", "surrogateescape") + b"\0" if after else self.terms.prefix
-            body = m.range_body(first, m.end_of(self.terms.prefix), revision, PAGE)
+            body = m.range_body(first, m.prefix_end(self.terms.prefix), revision, PAGE)
             try:
-                reply = self.client.call(address, "/v3/kv/range", body, m.Range)
+                reply = self.client.call(address, "/v3/kv/range", body, m.RangeResponse)
             except NETWORK:
-                self.follower.unread()
+                self.follower.abort_read()
                 raise
-            told = self.follower.paged(reply)
+            told = self.follower.handle_page(reply)
         if not self._worth(address, told, reply.header.cluster_id):
             return
-        self.endpoints.fine(address)
+        self.endpoints.mark_healthy(address)
         first = self.known_at is None and not self.from_store
         self.from_store, self.known_at = False, self.clock()
         self._publish("whole", first)
         log.info("list read", member=address, revision=self.follower.revision,
-                 streamers=len(self.directory.streamers), bad=len(self.directory.bad))  # fmt: skip
+                 streamers=len(self.directory.streamers), bad=len(self.directory.bad_values))  # fmt: skip
 
     def _watch(self, address: str) -> None:
-        turn, start = self.follower.watch_from()
+        turn, start = self.follower.start_watch()
         headers = self.client.headers(address)
         call = self._stream = Call(read_address(address), self.terms.connect)
-        frames = Frames()
+        frames = LineSplitter()
         try:
             call.send("POST", "/v3/watch", headers, m.watch_body(self.terms.prefix, start))
             head = call.head(time.monotonic() + self.terms.time_out)
             if head.status != 200:
-                raise m.refusal(b"".join(call.chunks(self.terms.time_out)))
+                raise m.decode_error(b"".join(call.chunks(self.terms.time_out)))
             while True:
                 quiet = self.terms.silent if self.follower.watching else self.terms.time_out
                 try:
@@ -198,46 +211,46 @@
                     if not self.follower.watching:
                         raise
                     # Nothing to tell, or cut off from the others and unable to: a new watch misses nothing.
-                    self.endpoints.quiet(address)
+                    self.endpoints.mark_silent(address)
                     return
                 if chunk is None:
                     raise ConnectionResetError("the stream ended")
                 for line in frames.feed(chunk):
-                    if not self._told(turn, address, m.read_line(line, m.Watch)):
+                    if not self._told(turn, address, m.decode_stream_line(line, m.WatchResponse)):
                         return
                 self._publish("changes")
         finally:
-            self.follower.broke(turn)
+            self.follower.stop_watch(turn)
             call.close()
             self._publish("changes")
 
-    def _told(self, turn: int, address: str, reply: m.Watch) -> bool:
+    def _told(self, turn: int, address: str, reply: m.WatchResponse) -> bool:
         """Whether this watch is worth going on with."""
-        told = self.follower.watched(turn, reply)
-        if told is Told.TAKEN:
+        told = self.follower.handle_watch(turn, reply)
+        if told is MessageOutcome.APPLIED:
             self.known_at = self.clock()
-        if reply.created and told is Told.TAKEN:
-            self.endpoints.fine(address)
-        if told in (Told.ENDED, Told.COMPACTED):
+        if reply.created and told is MessageOutcome.APPLIED:
+            self.endpoints.mark_healthy(address)
+        if told in (MessageOutcome.CANCELED, MessageOutcome.COMPACTED):
             log.warning("watch ended", member=address, cause=reply.cancel_reason, word=told.value)
-            if told is Told.ENDED:
-                self.endpoints.failed(address)
+            if told is MessageOutcome.CANCELED:
+                self.endpoints.mark_failed(address)
             return False
         return self._worth(address, told, reply.header.cluster_id)
 
-    def _worth(self, address: str, told: Told, cluster: int) -> bool:
-        if told is Told.BEHIND:
-            self.endpoints.behind(self.clock(), address)
-            log.warning("etcd member behind", member=address, seen=self.follower.seen)
+    def _worth(self, address: str, told: MessageOutcome, cluster: int) -> bool:
+        if told is MessageOutcome.MEMBER_BEHIND:
+            self.endpoints.mark_behind(self.clock(), address)
+            log.warning("etcd member behind", member=address, seen=self.follower.highest_revision)
             return False
-        if told is Told.FOREIGN:
+        if told is MessageOutcome.OTHER_CLUSTER:
             log.error("etcd member of another cluster", member=address, cluster=cluster)
-            if self.endpoints.foreign(self.clock(), address, cluster):
+            if self.endpoints.mark_other_cluster(self.clock(), address, cluster):
                 log.error("another cluster followed, every member names it", cluster=cluster)
-                self.follower.adopt(cluster)
+                self.follower.switch_cluster(cluster)
                 if self.budgets:
                     # Leases and revisions of the one before mean nothing in this one.
-                    self.membership.lapsed()
+                    self.membership.lease_lost()
                     self.budgets.set_back()
             return False
         return True
@@ -246,14 +259,14 @@
         """Tell what has changed; a whole list is told whole, so that what vanished is known to."""
         if self._owed:
             kind = "whole"  # changes were taken and never told: a fault came between
-        changes = self.follower.changes()
-        if self.budgets and self.follower.need is not Need.READ:
+        changes = self.follower.take_changes()
+        if self.budgets and self.follower.next_action is not NextAction.READ:
             self.budgets.heard(self.follower.revision, self.follower.items)
         if not changes and kind == "changes":
             return
         self._owed = True
-        touched = self.directory.take(self.clock(), changes, first)
-        lines = self.directory.lines(touched) if kind == "changes" else self.directory.whole()
+        touched = self.directory.apply(self.clock(), changes, first)
+        lines = self.directory.entries(touched) if kind == "changes" else self.directory.all_entries()
         if touched or kind != "changes":
             # Addresses of what has changed alone: a list of thousands changes a thousand times a second.
             self.listed(kind, lines, self.directory.addresses(line.streamer for line in lines))
@@ -266,20 +279,20 @@
         """Hold the lease and the number."""
         while True:
             now = self.clock()
-            step = self.membership.step(now)
+            step = self.membership.next_request(now)
             if step:
                 try:
                     self._ask(step, now)
                 except NETWORK as fault:
-                    self.membership.failed(self.clock())
+                    self.membership.request_failed(self.clock())
                     self.failing = True
                     log.warning("lease not kept", step=step.value, cause=repr(fault))
-                    if isinstance(fault, Refused) and fault.code == m.NOT_FOUND:
-                        self.membership.lapsed()
+                    if isinstance(fault, EtcdError) and fault.code == m.GRPC_NOT_FOUND:
+                        self.membership.lease_lost()
                 except Exception:
-                    self.membership.failed(self.clock())
+                    self.membership.request_failed(self.clock())
                     log.exception("lease not kept", step=step.value)
-            gevent.sleep(min(0.2, max(0.01, self.membership.due - self.clock())))
+            gevent.sleep(min(0.2, max(0.01, self.membership.next_due - self.clock())))
 
     def _doubt(self) -> None:
         """The place changes by time alone too, also while a request hangs that would renew the lease."""
@@ -287,25 +300,25 @@
             self._reckon()
             gevent.sleep(DOUBT)
 
-    def _ask(self, step: Step, now: float) -> None:
+    def _ask(self, step: LeaseRequest, now: float) -> None:
         match step:
-            case Step.GRANT:
-                reply = self._take("/v3/lease/grant", m.grant_body(int(self.terms.ttl)), m.Lease)
-                self.membership.granted(now, reply.ID, reply.TTL)
-            case Step.CLAIM:
-                value = changed_value(None, name=self.name)
+            case LeaseRequest.GRANT:
+                reply = self._take("/v3/lease/grant", m.grant_body(int(self.terms.ttl)), m.LeaseResponse)
+                self.membership.lease_granted(now, reply.ID, reply.TTL)
+            case LeaseRequest.CLAIM:
+                value = update_value(None, name=self.name)
                 body = m.claim_body(self.key, value, self.membership.lease)
-                reply = self._take("/v3/kv/txn", body, m.Txn)
-                won = reply.won(self.membership.lease)
+                reply = self._take("/v3/kv/txn", body, m.TxnResponse)
+                won = reply.claimed(self.membership.lease)
                 if won:
-                    self.life = reply.header.revision if reply.succeeded else reply.found.create_revision
+                    self.life = reply.header.revision if reply.succeeded else reply.existing.create_revision
                 self.membership.claim_answered(self.clock(), now, won)
                 if not won:
                     log.warning("number held by another", key=self.key)
-            case Step.KEEP:
+            case LeaseRequest.KEEP_ALIVE:
                 body = m.lease_body(self.membership.lease)
                 call = self._take("/v3/lease/keepalive", body, _Kept)
-                self.membership.kept(now, call.result.TTL)
+                self.membership.keepalive_answered(now, call.result.TTL)
                 self.failing = False
 
     def _take(self, path: str, body: bytes, kind: type):
@@ -314,16 +327,16 @@
         try:
             reply = self.client.call(address, path, body, kind)
         except NETWORK:
-            self.takers.failed(address)
+            self.takers.mark_failed(address)
             raise
-        self.takers.fine(address)
+        self.takers.mark_healthy(address)
         return reply
 
-    def _swap(self, body: bytes) -> m.Txn:
+    def _swap(self, body: bytes) -> m.TxnResponse:
         """A transaction; one that another cluster answers is as good as unanswered."""
-        reply = self._take("/v3/kv/txn", body, m.Txn)
+        reply = self._take("/v3/kv/txn", body, m.TxnResponse)
         if reply.header.cluster_id != self.follower.cluster:
-            raise m.Garbled(f"another cluster: {reply.header.cluster_id:x}")
+            raise m.MalformedReplyError(f"another cluster: {reply.header.cluster_id:x}")
         return reply
 
     def _claims(self) -> dict[str, int] | None:
@@ -332,18 +345,18 @@
             return None
         start = f"{self.terms.prefix}controllers/"
         found = self.follower.items.items()
-        return {key.removeprefix(start): item.create for key, item in found if key.startswith(start)}
+        return {key.removeprefix(start): item.create_revision for key, item in found if key.startswith(start)}
 
     def ranked(self) -> bool:
         """Whether the place that was told last still holds: one that was stopped asks before it acts."""
-        return self.place is None or self.place.rank is None or self.membership.holds(self.clock())
+        return self.place is None or self.place.rank is None or self.membership.holds_number(self.clock())
 
     def _reckon(self) -> None:
         if self.budgets:
-            held = self.membership.holds(self.clock())
-            self.budgets.leased(self.life, self.membership.until, held, self.failing)
+            held = self.membership.holds_number(self.clock())
+            self.budgets.leased(self.life, self.membership.trusted_until, held, self.failing)
         live = None if self.known_at is None else self.directory.controllers
-        place = self.membership.place(self.clock(), live)
+        place = self.membership.rank_among(self.clock(), live)
         if place != self.place:
             self.place = place
             self.counted(*place)
@@ -369,7 +382,7 @@
             try:
                 body = m.lease_body(self.membership.lease)
                 with gevent.Timeout(0.5, OSError("too slow")):
-                    self._take("/v3/lease/revoke", body, m.Lease)
+                    self._take("/v3/lease/revoke", body, m.LeaseResponse)
             except NETWORK as fault:
                 log.info("lease left to run out", cause=repr(fault))
         if self.store:
@@ -379,4 +392,4 @@
 
 
 class _Kept(m.msgspec.Struct):
-    result: m.Lease
+    result: m.LeaseResponse
--- a/herongap/daemon/front.py
+++ b/herongap/daemon/front.py
@@ -11,9 +11,9 @@
 from herongap.daemon.session import Session
 from herongap.daemon.wire import Peer
 from herongap.host import ViewingState
-from herongap.http import SDP, Reply, Request, problem, wait_preferred
+from herongap.http import SDP, Reply, Request, preferred_wait, problem
 from herongap.sdp import Offer
-from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created, ice_links
+from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created_reply, ice_links
 
 log = structlog.get_logger()
 
@@ -61,7 +61,7 @@
         if isinstance(offer, Reply):
             return offer
         key, digest = self._identity(request, offer, owner)
-        patience = min(self.site.patience[package], wait_preferred(request) or math.inf)
+        patience = min(self.site.patience[package], preferred_wait(request) or math.inf)
         top = request.query.get("top", "")
         session = self.door.enter(
             Wish(
@@ -84,7 +84,7 @@
             return session
         self.secrets[session.secret] = session
         links = ice_links(self.site.front.ice_servers)
-        return created(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
+        return created_reply(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
 
     def _identity(self, request: Request, offer: Offer, owner: str | None) -> tuple[tuple, str]:
         """What makes two requests one viewing, and what must then be equal in both."""
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -16,7 +16,7 @@
 from joserfc.errors import JoseError
 from joserfc.jwk import OKPKey
 
-from herongap.dash import Grant, Key, Ring, mint, new_key, published
+from herongap.dash import KeyRotation, SigningKey, TokenClaims, generate_key, mint, public_jwks
 from herongap.errors import HerongapError, Unusable
 
 log = structlog.get_logger()
@@ -40,7 +40,7 @@
     def __init__(self, folder: str | Path, rotate: float, ahead: float, longest: float):
         self.folder, self.terms = Path(folder), (rotate, ahead, longest)
         self.pairs: dict[str, OKPKey] = {}
-        self.ring = Ring((), *self.terms)
+        self.ring = KeyRotation((), *self.terms)
 
     def load(self, now: float) -> None:
         """Read the folder, make a key if one is due, delete those that are dead.
@@ -55,26 +55,26 @@
             for path in sorted(self.folder.glob("*.key")):
                 if key := self._read(path):
                     made.append(key)
-            self.ring = Ring(made, *self.terms)
-            if self.ring.due(now):
+            self.ring = KeyRotation(made, *self.terms)
+            if self.ring.needs_new_key(now):
                 self._make(now)
-            for key in self.ring.dead(now):
+            for key in self.ring.remove_expired(now):
                 self._path(key.kid).unlink(missing_ok=True)
                 self.pairs.pop(key.kid, None)
                 log.info("key dropped", kid=key.kid)
 
-    def mint(self, now: float, grant: Grant) -> str:
+    def mint(self, now: float, grant: TokenClaims) -> str:
         """A token by the key that signs now."""
-        return mint(self.pairs[self.ring.signing(now).kid], grant)
+        return mint(self.pairs[self.ring.signing_key(now).kid], grant)
 
     def jwks(self, now: float) -> dict:
         """What streamers are to know: the public halves alone."""
-        return published([self.pairs[key.kid] for key in self.ring.published(now)])
+        return public_jwks([self.pairs[key.kid] for key in self.ring.published_keys(now)])
 
     def _path(self, kid: str) -> Path:
         return self.folder / f"{kid}.key"
 
-    def _read(self, path: Path) -> Key | None:
+    def _read(self, path: Path) -> SigningKey | None:
         _safe(path)
         try:
             kept = json.loads(path.read_text(encoding="utf-8"))
@@ -82,7 +82,7 @@
             if pair.kid != path.stem or not pair.is_private:
                 raise WrongKey("not the private key that its name says")
             self.pairs[pair.kid] = pair
-            return Key(pair.kid, float(kept["made"]))
+            return SigningKey(pair.kid, float(kept["made"]))
         except (ValueError, KeyError, TypeError, JoseError) as fault:
             # The kind of fault alone: its words may hold parts of the key.
             log.error("key not read", path=str(path), cause=type(fault).__name__)
@@ -92,7 +92,7 @@
         taken = 0
         while self._path(kid := f"{int(now)}-{taken}").exists():
             taken += 1
-        pair, path = new_key(kid), self._path(kid)
+        pair, path = generate_key(kid), self._path(kid)
         # Written aside with its mode from the first byte on, then renamed: nobody ever reads half a key.
         aside = path.with_suffix(".new")
         handle = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -102,7 +102,7 @@
             os.fsync(file.fileno())
         os.rename(aside, path)
         self.pairs[kid] = pair
-        self.ring.add(Key(kid, now))
+        self.ring.add(SigningKey(kid, now))
         log.info("key made", kid=kid)
 
     @contextmanager
--- a/herongap/daemon/remembered.py
+++ b/herongap/daemon/remembered.py
@@ -16,7 +16,7 @@
 
 from herongap.daemon.aside import put_aside
 from herongap.errors import Unusable
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 
 FORMAT = 1
 MOST = 256 << 20  # bytes of the environment, of which a list of 10,000 streamers takes about 2 MB
@@ -27,7 +27,7 @@
 class Kept(msgspec.Struct, array_like=True):
     cluster: int
     revision: int
-    items: dict[str, Item]
+    items: dict[str, KeyEntry]
 
 
 class Unreadable(Unusable):
@@ -43,7 +43,7 @@
         self.path = path
         self.env: lmdb.Environment | None = None
 
-    def load(self) -> tuple[int, int, dict[str, Item]] | None:
+    def load(self) -> tuple[int, int, dict[str, KeyEntry]] | None:
         """Cluster, revision and items as they were last saved; None where there are none."""
         try:
             self._open()
@@ -54,7 +54,7 @@
             self._put_aside(fault)
             return None
 
-    def save(self, cluster: int, revision: int, items: Mapping[str, Item]) -> bool:
+    def save(self, cluster: int, revision: int, items: Mapping[str, KeyEntry]) -> bool:
         """Keep a list; a full or broken disk is told and changes nothing else."""
         try:
             self._open()
@@ -77,7 +77,7 @@
             os.makedirs(self.path, exist_ok=True)
             self.env = lmdb.open(self.path, map_size=MOST, sync=False)
 
-    def _read(self, data: bytes) -> tuple[int, int, dict[str, Item]]:
+    def _read(self, data: bytes) -> tuple[int, int, dict[str, KeyEntry]]:
         try:
             number, check, body = data.split(b" ", 2)
             if int(number) != FORMAT:
--- a/herongap/daemon/session.py
+++ b/herongap/daemon/session.py
@@ -11,7 +11,7 @@
 
 from herongap.host import Answer
 from herongap.http import Reply, read_links
-from herongap.whip import EVENTS, LAYERS
+from herongap.whip import EVENTS_EXTENSION, LAYERS_EXTENSION
 
 Id = int | str
 
@@ -38,7 +38,12 @@
     }
     body = reply.body if isinstance(reply.body, bytes) else b""
     return Remote(
-        streamer, location, reply.header("etag") or "", body, links.get(LAYERS, ""), links.get(EVENTS, "")
+        streamer,
+        location,
+        reply.header("etag") or "",
+        body,
+        links.get(LAYERS_EXTENSION, ""),
+        links.get(EVENTS_EXTENSION, ""),
     )
 
 
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -20,7 +20,7 @@
 from herongap.host import Answer, Host
 from herongap.http import Reply
 from herongap.interface import EndReason, LoadReport, ViewingRequest
-from herongap.orca import HEADER, read_load
+from herongap.orca import LOAD_HEADER, read_load
 from herongap.state import Known
 from herongap.whep import write_layer
 
@@ -224,7 +224,7 @@
     def _read(
         self, streamer: Id, target: str, reply: Reply
     ) -> tuple[EndReason, LoadReport | None, Remote | None]:
-        load = read_load(reply.header(HEADER))
+        load = read_load(reply.header(LOAD_HEADER))
         if reply.status == 201:
             remote = read_remote(streamer, target, reply)
             return EndReason.FAULTY, load, remote
@@ -279,7 +279,7 @@
         how, load = EndReason.PLAYED, None
         try:
             target = self.targets["whep"].format(title="-", rung=0)
-            load = read_load(self._call(streamer, "OPTIONS", target, b"", 0.5).header(HEADER))
+            load = read_load(self._call(streamer, "OPTIONS", target, b"", 0.5).header(LOAD_HEADER))
         except TimeoutError:
             how = EndReason.TIMED_OUT
         except (OSError, h11.ProtocolError, KeyError):
--- a/herongap/dash/__init__.py
+++ b/herongap/dash/__init__.py
@@ -1,24 +1,24 @@
-"""DASH with session tokens, without I/O: manifests, tokens, the ring of keys, what players report."""
+"""DASH with session tokens, without I/O: manifests, tokens, key rotation, player reports (CMCD)."""
 
 from herongap.dash.cmcd import read_cmcd
-from herongap.dash.doubt import Doubt
-from herongap.dash.mpd import MPD, Asset, Video, manifest
-from herongap.dash.ring import Key, Ring
-from herongap.dash.tokens import Checker, Grant, Refusal, mint, new_key, published
+from herongap.dash.early_reload import EarlyReloadDetector
+from herongap.dash.key_rotation import KeyRotation, SigningKey
+from herongap.dash.mpd import MPD_MEDIA_TYPE, Asset, Video, build_manifest
+from herongap.dash.tokens import TokenClaims, TokenError, TokenVerifier, generate_key, mint, public_jwks
 
 __all__ = [
-    "MPD",
+    "MPD_MEDIA_TYPE",
     "Asset",
-    "Checker",
-    "Doubt",
-    "Grant",
-    "Key",
-    "Refusal",
-    "Ring",
+    "EarlyReloadDetector",
+    "KeyRotation",
+    "SigningKey",
+    "TokenClaims",
+    "TokenError",
+    "TokenVerifier",
     "Video",
-    "manifest",
+    "build_manifest",
+    "generate_key",
     "mint",
-    "new_key",
-    "published",
+    "public_jwks",
     "read_cmcd",
 ]
--- a/herongap/dash/doubt.py
+++ b/herongap/dash/early_reload.py
@@ -11,14 +11,14 @@
 SILENT = 2  # questions without an answer after which the player is believed
 
 
-class Doubt:
+class EarlyReloadDetector:
     """What is thought of one viewing; a new one for each."""
 
     def __init__(self):
         self.last = self.next = float("-inf")
         self.early = self.silent = 0
 
-    def asked(self, now: float, update: float) -> bool:
+    def manifest_requested(self, now: float, update: float) -> bool:
         """The player asks for its manifest; whether its streamer is to be asked about the viewing."""
         # Tabs and impatient players ask early too: only the streamer's word, or its silence, means anything.
         self.early = self.early + 1 if now - self.last < update / 2 else 0
@@ -28,7 +28,7 @@
         self.next = now + AGAIN
         return True
 
-    def answered(self, now: float, there: bool | None) -> bool:
+    def streamer_answered(self, now: float, there: bool | None) -> bool:
         """What the streamer said, None for nothing; whether the viewing is to be given up."""
         if there is None:
             self.silent += 1
--- a/herongap/dash/mpd.py
+++ b/herongap/dash/mpd.py
@@ -11,11 +11,11 @@
 
 from herongap.errors import Unusable
 
-MPD = "application/dash+xml"
+MPD_MEDIA_TYPE = "application/dash+xml"
 NAMESPACE = "urn:mpeg:dash:schema:mpd:2011"
 LIVE = "urn:mpeg:dash:profile:isoff-live:2011"
 BUFFER = 2.0  # segments that a player should hold before it plays
-SHIFT = 30.0  # seconds of a live title that can be fetched
+TIME_SHIFT_SECONDS = 30.0  # seconds of a live title that can be fetched
 
 
 class NoRungs(Unusable):
@@ -42,14 +42,14 @@
     """
 
     videos: tuple[Video, ...]
-    segment: float
-    began: float | None = None
-    length: float = 0.0
+    segment_seconds: float
+    start_time: float | None = None
+    duration_seconds: float = 0.0
     timeline: bool = False
-    scale: int = 1000
+    timescale: int = 1000
 
 
-def manifest(
+def build_manifest(
     asset: Asset, floor: int, top: int, base: str, location: str, now: float, update: float
 ) -> bytes:
     """The manifest of a viewing that may use the rungs from `floor` to `top`.
@@ -61,23 +61,25 @@
     if not 0 <= floor <= top < len(asset.videos):
         raise NoRungs(f"rungs {floor} to {top} of {len(asset.videos)}")
     mpd = Xml.Element(
-        "MPD", {"xmlns": NAMESPACE, "profiles": LIVE, "minBufferTime": _span(BUFFER * asset.segment)}
+        "MPD", {"xmlns": NAMESPACE, "profiles": LIVE, "minBufferTime": _span(BUFFER * asset.segment_seconds)}
     )
-    if asset.began is None:
-        mpd.attrib |= {"type": "static", "mediaPresentationDuration": _span(asset.length)}
+    if asset.start_time is None:
+        mpd.attrib |= {"type": "static", "mediaPresentationDuration": _span(asset.duration_seconds)}
     else:
         mpd.attrib |= {
-            "type": "dynamic", "availabilityStartTime": _moment(asset.began), "publishTime": _moment(now),
-            "timeShiftBufferDepth": _span(SHIFT),
-        }  # fmt: skip
+            "type": "dynamic",
+            "availabilityStartTime": _moment(asset.start_time),
+            "publishTime": _moment(now),
+            "timeShiftBufferDepth": _span(TIME_SHIFT_SECONDS),
+        }
     # A recorded title is steered the same way: with an update period its manifest is asked for again too.
     mpd.set("minimumUpdatePeriod", _span(update))
     # 5.3.1.2: BaseURL stands before Location, both before Period.
     Xml.SubElement(mpd, "BaseURL").text = base
     Xml.SubElement(mpd, "Location").text = location
     period = Xml.SubElement(mpd, "Period", {"id": "1", "start": "PT0S"})
-    if asset.began is None:
-        period.set("duration", _span(asset.length))
+    if asset.start_time is None:
+        period.set("duration", _span(asset.duration_seconds))
     shape = {"contentType": "video", "mimeType": "video/mp4", "segmentAlignment": "true", "startWithSAP": "1"}
     group = Xml.SubElement(period, "AdaptationSet", {"id": "1", **shape})
     _template(group, asset, now)
@@ -92,19 +94,19 @@
 
 def _template(group: Xml.Element, asset: Asset, now: float) -> None:
     """5.3.9.4: one template for all rungs, by number with a fixed duration or by time with a timeline."""
-    ticks = round(asset.segment * asset.scale)
-    common = {"timescale": str(asset.scale), "initialization": "$RepresentationID$/init.mp4"}
+    ticks = round(asset.segment_seconds * asset.timescale)
+    common = {"timescale": str(asset.timescale), "initialization": "$RepresentationID$/init.mp4"}
     if not asset.timeline:
         media = {"media": "$RepresentationID$/$Number$.m4s", "startNumber": "1", "duration": str(ticks)}
         Xml.SubElement(group, "SegmentTemplate", common | media)
         return
     template = Xml.SubElement(group, "SegmentTemplate", common | {"media": "$RepresentationID$/$Time$.m4s"})
-    first, last = segments(asset, now)
+    first, last = available_segments(asset, now)
     if last < first:
         # 5.3.9.6: a timeline has an S; before the first segment is there, the one that will be.
         last = first
     lines = Xml.SubElement(template, "SegmentTimeline")
-    short = _rest(asset) if asset.began is None else 0
+    short = _rest(asset) if asset.start_time is None else 0
     whole = last - first if short else last - first + 1
     if whole > 0:
         Xml.SubElement(lines, "S", {"t": str((first - 1) * ticks), "d": str(ticks), "r": str(whole - 1)})
@@ -114,16 +116,18 @@
 
 def _rest(asset: Asset) -> int:
     """The ticks of a recorded title's last segment where it is shorter than the others, else 0."""
-    return round(asset.length * asset.scale) % round(asset.segment * asset.scale)
+    return round(asset.duration_seconds * asset.timescale) % round(asset.segment_seconds * asset.timescale)
 
 
-def segments(asset: Asset, now: float) -> tuple[int, int]:
+def available_segments(asset: Asset, now: float) -> tuple[int, int]:
     """The first and the last segment that can be fetched, by their numbers from 1."""
-    if asset.began is None:
-        count = -(-round(asset.length * asset.scale) // round(asset.segment * asset.scale))
+    if asset.start_time is None:
+        count = -(
+            -round(asset.duration_seconds * asset.timescale) // round(asset.segment_seconds * asset.timescale)
+        )
         return 1, count
-    last = int((now - asset.began) / asset.segment)
-    return max(1, last - int(SHIFT / asset.segment) + 1), last
+    last = int((now - asset.start_time) / asset.segment_seconds)
+    return max(1, last - int(TIME_SHIFT_SECONDS / asset.segment_seconds) + 1), last
 
 
 def _span(seconds: float) -> str:
--- a/herongap/dash/tokens.py
+++ b/herongap/dash/tokens.py
@@ -12,11 +12,13 @@
 from joserfc.errors import JoseError
 from joserfc.jwk import KeySet, OKPKey
 
-from herongap.dash.ring import SKEW
+from herongap.dash.key_rotation import CLOCK_SKEW_SECONDS
 from herongap.errors import HerongapError, Unusable
 
 ALGORITHM = "Ed25519"
-TYPE = "herongap-session+jwt"  # RFC 8725, 3.11: a token made for anything else must not pass for one of these
+TOKEN_TYPE = (
+    "herongap-session+jwt"  # RFC 8725, 3.11: a token made for anything else must not pass for one of these
+)
 ISSUER = "herongap"
 MOST = 2048  # characters of a token that is looked at
 
@@ -27,7 +29,7 @@
     advice = "see the front that publishes it; the keys before stay in force"
 
 
-class Grant(NamedTuple):
+class TokenClaims(NamedTuple):
     """What a token allows. Rungs from `floor` to `top`, both with; times in seconds since the epoch."""
 
     viewing: str
@@ -41,7 +43,7 @@
     ends: float
 
 
-class Refusal(HerongapError):
+class TokenError(HerongapError):
     """Why a token is not taken: `kind` is one of KINDS."""
 
     advice = "see the kind: clocks, keys that were not published, or a token of another front"
@@ -53,26 +55,28 @@
         self.kind, self.kid = kind, kid
 
 
-def new_key(kid: str) -> OKPKey:
+def generate_key(kid: str) -> OKPKey:
     return OKPKey.generate_key("Ed25519", {"kid": kid, "use": "sig", "alg": ALGORITHM}, private=True)
 
 
-def published(keys: list[OKPKey]) -> dict:
+def public_jwks(keys: list[OKPKey]) -> dict:
     """A JWK set of the public halves."""
     return {"keys": [key.as_dict(private=False) for key in keys]}
 
 
-def mint(key: OKPKey, grant: Grant) -> str:
+def mint(key: OKPKey, grant: TokenClaims) -> str:
     """A token. Times are whole seconds in it, rounded so that it never lasts longer than granted."""
     claims = {
         "iss": ISSUER, "aud": grant.streamer, "sub": grant.viewing, "title": grant.title,
         "package": grant.package, "member": grant.member, "rungs": [grant.floor, grant.top],
         "nbf": int(grant.begins), "exp": int(grant.ends),
     }  # fmt: skip
-    return jwt.encode({"alg": ALGORITHM, "kid": key.kid, "typ": TYPE}, claims, key, algorithms=[ALGORITHM])
+    return jwt.encode(
+        {"alg": ALGORITHM, "kid": key.kid, "typ": TOKEN_TYPE}, claims, key, algorithms=[ALGORITHM]
+    )
 
 
-class Checker:
+class TokenVerifier:
     """What one streamer checks tokens by; `members` are those that it serves, None for all.
 
     Tokens that it has checked lately are not verified again: a player brings the same one with each segment.
@@ -82,10 +86,10 @@
 
     def __init__(self, streamer: str, jwks: dict, members: frozenset[str] | None = None):
         self.streamer, self.members = streamer, members
-        self.checked: OrderedDict[str, Grant] = OrderedDict()
-        self.learn(jwks)
+        self.checked: OrderedDict[str, TokenClaims] = OrderedDict()
+        self.set_keys(jwks)
 
-    def learn(self, jwks: dict) -> None:
+    def set_keys(self, jwks: dict) -> None:
         """Take a newly published set; raises ValueError, and keeps the old one, if it cannot be used.
 
         Keys of other kinds are passed over. What was checked with keys that are gone is checked anew.
@@ -98,11 +102,11 @@
             keys = [OKPKey.import_key({p: k[p] for p in ("kty", "crv", "x", "kid")}) for k in usable]
         except (JoseError, KeyError, TypeError, AttributeError, ValueError) as fault:
             raise BadKeys(f"not a JWK set: {fault!r}") from fault
-        self.kids = {key.kid for key in keys}
+        self.key_ids = {key.kid for key in keys}
         self.keys = KeySet(keys) if keys else None
         self.checked.clear()
 
-    def check(self, now: float, token: str, title: str) -> Grant:
+    def verify(self, now: float, token: str, title: str) -> TokenClaims:
         """What the token allows here; raises Refusal. `now` is in seconds since the epoch."""
         grant = self.checked.get(token)
         if grant is None:
@@ -110,30 +114,30 @@
             self.checked[token] = grant
             if len(self.checked) > self.KEPT:
                 self.checked.popitem(last=False)
-        if now >= grant.ends + SKEW:
+        if now >= grant.ends + CLOCK_SKEW_SECONDS:
             self.checked.pop(token, None)
-            raise Refusal("expired")
-        if now < grant.begins - SKEW:
-            raise Refusal("early")
+            raise TokenError("expired")
+        if now < grant.begins - CLOCK_SKEW_SECONDS:
+            raise TokenError("early")
         if grant.streamer != self.streamer:
-            raise Refusal("elsewhere")
+            raise TokenError("elsewhere")
         if self.members is not None and grant.member not in self.members:
-            raise Refusal("member")
+            raise TokenError("member")
         if grant.title != title:
-            raise Refusal("title")
+            raise TokenError("title")
         return grant
 
-    def _verify(self, token: str) -> Grant:
+    def _verify(self, token: str) -> TokenClaims:
         if len(token) > MOST or not token.isascii():
-            raise Refusal("malformed")
+            raise TokenError("malformed")
         kid = _header(token)
-        if self.keys is None or kid not in self.kids:
-            raise Refusal("unknown-key", kid)
+        if self.keys is None or kid not in self.key_ids:
+            raise TokenError("unknown-key", kid)
         try:
             # One algorithm, whatever the header says: no way in for "none" and mistaken keys (RFC 8725, 3.1).
             found = jwt.decode(token, self.keys, algorithms=[ALGORITHM])
         except (JoseError, ValueError) as fault:
-            raise Refusal("forged") from fault
+            raise TokenError("forged") from fault
         return _grant(found.claims)
 
 
@@ -144,23 +148,27 @@
     try:
         header = extract_compact(token.encode()).headers()
     except (JoseError, ValueError, TypeError, AttributeError) as fault:
-        raise Refusal("malformed") from fault
-    if header.get("alg") != ALGORITHM or header.get("typ") != TYPE or not isinstance(header.get("kid"), str):
-        raise Refusal("malformed")
+        raise TokenError("malformed") from fault
+    if (
+        header.get("alg") != ALGORITHM
+        or header.get("typ") != TOKEN_TYPE
+        or not isinstance(header.get("kid"), str)
+    ):
+        raise TokenError("malformed")
     return header["kid"]
 
 
-def _grant(claims: dict) -> Grant:
+def _grant(claims: dict) -> TokenClaims:
     try:
         floor, top = claims["rungs"]
-        grant = Grant(
+        grant = TokenClaims(
             claims["sub"], claims["title"], claims["package"], claims["member"], floor, top,
             claims["aud"], float(claims["nbf"]), float(claims["exp"]),
         )  # fmt: skip
         texts = (grant.viewing, grant.title, grant.package, grant.member, grant.streamer)
         whole = all(isinstance(rung, int) and rung >= 0 for rung in (floor, top)) and floor <= top
         if claims["iss"] != ISSUER or not whole or not all(isinstance(text, str) for text in texts):
-            raise Refusal("malformed")
+            raise TokenError("malformed")
     except (KeyError, TypeError, ValueError) as fault:
-        raise Refusal("malformed") from fault
+        raise TokenError("malformed") from fault
     return grant
--- a/herongap/etcd/__init__.py
+++ b/herongap/etcd/__init__.py
@@ -1,21 +1,21 @@
-"""etcd's v3 API over its JSON gateway, without I/O: messages, the follower of a prefix, our keys, leases."""
+"""The etcd v3 API over its JSON gateway, without I/O: messages, mirror of a prefix, stored keys, leases."""
 
-from herongap.etcd.directory import Directory
-from herongap.etcd.endpoints import Endpoints
-from herongap.etcd.follower import Change, Follower, Item, Need, Told
-from herongap.etcd.membership import Membership, Step
-from herongap.etcd.messages import Frames, Refused
+from herongap.etcd.endpoints import EndpointSelector
+from herongap.etcd.follower import KeyChange, KeyEntry, MessageOutcome, NextAction, PrefixFollower
+from herongap.etcd.membership import LeaseRequest, Membership
+from herongap.etcd.messages import EtcdError, LineSplitter
+from herongap.etcd.registry import Registry
 
 __all__ = [
-    "Change",
-    "Directory",
-    "Endpoints",
-    "Follower",
-    "Frames",
-    "Item",
+    "EndpointSelector",
+    "EtcdError",
+    "KeyChange",
+    "KeyEntry",
+    "LeaseRequest",
+    "LineSplitter",
     "Membership",
-    "Need",
-    "Refused",
-    "Step",
-    "Told",
+    "MessageOutcome",
+    "NextAction",
+    "PrefixFollower",
+    "Registry",
 ]
--- a/herongap/etcd/keys.py
+++ b/herongap/etcd/keys.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from herongap.errors import Unusable
-from herongap.http import read_url
+from herongap.http import parse_url
 
 VERSION = 1
 
 
-class Bad(Unusable):
+class InvalidValueError(Unusable):
     """A value that cannot be used."""
 
     advice = "correct the value under that key; nothing of it is used"
@@ -38,7 +38,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        return read_url(self.url)
+        return parse_url(self.url)
 
 
 class DrainValue(msgspec.Struct, omit_defaults=True):
@@ -58,34 +58,34 @@
 KINDS = {"streamers": StreamerValue, "drains": DrainValue, "controllers": ControllerValue}
 
 
-def split(prefix: str, key: str) -> tuple[str, str] | None:
+def split_key(prefix: str, key: str) -> tuple[str, str] | None:
     """The kind and the name of a key of ours, None for any other."""
     kind, _, name = key.removeprefix(prefix).partition("/")
     return (kind, name) if key.startswith(prefix) and kind in KINDS and name else None
 
 
-def read_value(kind: str, value: bytes):
+def decode_value(kind: str, value: bytes):
     """A value of a kind; raises Bad with the reason."""
     try:
         found = msgspec.json.decode(value, type=KINDS[kind])
     except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise Bad(str(fault)) from fault
+        raise InvalidValueError(str(fault)) from fault
     if found.v != VERSION:
-        raise Bad(f"version {found.v}, known is {VERSION}")
+        raise InvalidValueError(f"version {found.v}, known is {VERSION}")
     if kind == "streamers":
         try:
-            read_url(found.url)
+            parse_url(found.url)
         except ValueError as fault:
-            raise Bad(str(fault)) from fault
+            raise InvalidValueError(str(fault)) from fault
     return found
 
 
-def changed_value(value: bytes | None, **fields) -> bytes:
+def update_value(value: bytes | None, **fields) -> bytes:
     """A value with some fields changed and all others kept, known here or not. Raises Bad."""
     try:
         old = msgspec.json.decode(value) if value else {}
     except msgspec.MsgspecError as fault:
-        raise Bad(str(fault)) from fault
+        raise InvalidValueError(str(fault)) from fault
     if not isinstance(old, dict):
-        raise Bad("not a JSON object")
+        raise InvalidValueError("not a JSON object")
     return msgspec.json.encode(old | {"v": VERSION} | fields)
--- a/herongap/etcd/membership.py
+++ b/herongap/etcd/membership.py
@@ -14,20 +14,20 @@
 from enum import Enum
 from typing import NamedTuple
 
-MARGIN = 0.5  # seconds that clocks may stray from each other over one lease
-SETTLE = 1.0  # seconds for which others may not have heard of a number that was just claimed
-AGAIN = 0.5  # seconds between two tries to get a lease or a number
+CLOCK_MARGIN_SECONDS = 0.5  # seconds that clocks may stray from each other over one lease
+SETTLE_SECONDS = 1.0  # seconds for which others may not have heard of a number that was just claimed
+RETRY_SECONDS = 0.5  # seconds between two tries to get a lease or a number
 
 
-class Step(Enum):
+class LeaseRequest(Enum):
     """What is to be asked of the server next."""
 
     GRANT = "grant"
     CLAIM = "claim"
-    KEEP = "keep"
+    KEEP_ALIVE = "keep"
 
 
-class Place(NamedTuple):
+class ControllerRank(NamedTuple):
     """What the module is told: a rank among `count` live controllers, None while there is none."""
 
     rank: int | None
@@ -43,62 +43,68 @@
     def __init__(self, number: int, expected: int, ttl: float):
         self.number, self.expected, self.ttl = number, expected, ttl
         self.lease = 0
-        self.until = self.since = float("-inf")
-        self.claimed, self.taken = False, False
-        self.due = 0.0
+        self.trusted_until = self.claimed_at = float("-inf")
+        self.claimed, self.taken_by_other = False, False
+        self.next_due = 0.0
 
-    def step(self, now: float) -> Step | None:
+    def next_request(self, now: float) -> LeaseRequest | None:
         """What to ask of the server now, if anything; call again when `due` has come."""
-        if self.lease and now >= self.until:
-            self.lapsed()
-        if now < self.due:
+        if self.lease and now >= self.trusted_until:
+            self.lease_lost()
+        if now < self.next_due:
             return None
-        return Step.GRANT if not self.lease else Step.KEEP if self.claimed else Step.CLAIM
-
-    def granted(self, sent: float, lease: int, ttl: float) -> None:
+        return (
+            LeaseRequest.GRANT
+            if not self.lease
+            else LeaseRequest.KEEP_ALIVE
+            if self.claimed
+            else LeaseRequest.CLAIM
+        )
+
+    def lease_granted(self, sent: float, lease: int, ttl: float) -> None:
         """A lease is ours; `sent` is when it was asked for."""
         self.lease, self.claimed = lease, False
-        self.until = sent + ttl - MARGIN
-        self.due = sent
+        self.trusted_until = sent + ttl - CLOCK_MARGIN_SECONDS
+        self.next_due = sent
 
     def claim_answered(self, now: float, sent: float, won: bool) -> None:
         """The claim of our number; lost where another holds it, which may be our own earlier process."""
-        self.claimed, self.taken = won, not won
+        self.claimed, self.taken_by_other = won, not won
         if won:
             # Others hear of it when the server has taken it, which may be long after it was sent.
-            self.since = now
-        self.due = sent + (self.ttl / 3 if won else AGAIN)
+            self.claimed_at = now
+        self.next_due = sent + (self.ttl / 3 if won else RETRY_SECONDS)
 
-    def kept(self, sent: float, ttl: float) -> None:
+    def keepalive_answered(self, sent: float, ttl: float) -> None:
         """A keep-alive was answered; a `ttl` of 0 says that the lease is gone."""
         if ttl <= 0:
-            self.lapsed()
+            self.lease_lost()
             return
-        self.until = max(self.until, sent + ttl - MARGIN)
-        self.due = sent + self.ttl / 3
+        self.trusted_until = max(self.trusted_until, sent + ttl - CLOCK_MARGIN_SECONDS)
+        self.next_due = sent + self.ttl / 3
 
-    def failed(self, now: float) -> None:
+    def request_failed(self, now: float) -> None:
         """A request brought no answer, or an error: the lease may live on, it is tried again."""
-        self.due = now + min(AGAIN, self.ttl / 6)
+        self.next_due = now + min(RETRY_SECONDS, self.ttl / 6)
 
-    def lapsed(self) -> None:
+    def lease_lost(self) -> None:
         """The lease is gone, or may be: its number is anybody's."""
         self.lease, self.claimed = 0, False
-        self.until = self.since = float("-inf")
+        self.trusted_until = self.claimed_at = float("-inf")
 
-    def holds(self, now: float) -> bool:
+    def holds_number(self, now: float) -> bool:
         """Whether the number is ours beyond doubt."""
-        return self.claimed and now < self.until
+        return self.claimed and now < self.trusted_until
 
-    def place(self, now: float, live: Collection[int] | None) -> Place:
+    def rank_among(self, now: float, live: Collection[int] | None) -> ControllerRank:
         """Our place among the numbers that the list names as live, None where there is no list yet.
 
         Those who are not named any more have lost their lease at the server, and trusted it for less long.
         """
         if live is None:
-            return Place(None, self.expected)
+            return ControllerRank(None, self.expected)
         others = {number for number in live if number != self.number}
         count = len(others) + 1
-        if not self.holds(now) or now < self.since + SETTLE:
-            return Place(None, count)
-        return Place(sum(number < self.number for number in others), count)
+        if not self.holds_number(now) or now < self.claimed_at + SETTLE_SECONDS:
+            return ControllerRank(None, count)
+        return ControllerRank(sum(number < self.number for number in others), count)
--- a/herongap/etcd/messages.py
+++ b/herongap/etcd/messages.py
@@ -11,13 +11,13 @@
 
 from herongap.errors import HerongapError, Unusable
 
-NOT_FOUND = 5  # gRPC: a lease that is gone
-COMPACTED = 11  # gRPC OUT_OF_RANGE: a revision that is gone, or is not there yet
-UNAUTHENTICATED = 16
-FRAME = 32 << 20  # bytes of one stream object; etcd fragments watch replies far below
+GRPC_NOT_FOUND = 5  # gRPC: a lease that is gone
+GRPC_OUT_OF_RANGE = 11  # gRPC OUT_OF_RANGE: a revision that is gone, or is not there yet
+GRPC_UNAUTHENTICATED = 16
+MAX_LINE_BYTES = 32 << 20  # bytes of one stream object; etcd fragments watch replies far below
 
 
-class Refused(HerongapError):
+class EtcdError(HerongapError):
     """The server's refusal: its gRPC `code` and message."""
 
     advice = "see the log of the member, its users and its quota"
@@ -28,16 +28,16 @@
 
     @property
     def compacted(self) -> bool:
-        return self.code == COMPACTED and "compacted" in str(self)
+        return self.code == GRPC_OUT_OF_RANGE and "compacted" in str(self)
 
 
-class Garbled(Unusable):
+class MalformedReplyError(Unusable):
     """A reply that is not what the API gives."""
 
     advice = "see which member answered, and what stands between it and here"
 
 
-class Header(msgspec.Struct):
+class ResponseHeader(msgspec.Struct):
     cluster_id: int = 0
     member_id: int = 0
     revision: int = 0
@@ -60,17 +60,17 @@
     type: Literal["PUT", "DELETE"] = "PUT"
 
 
-class Range(msgspec.Struct):
-    header: Header
+class RangeResponse(msgspec.Struct):
+    header: ResponseHeader
     kvs: list[KeyValue] = []
     more: bool = False
     count: int = 0
 
 
-class Watch(msgspec.Struct):
+class WatchResponse(msgspec.Struct):
     """One message of a watch stream."""
 
-    header: Header
+    header: ResponseHeader
     watch_id: int = 0
     created: bool = False
     canceled: bool = False
@@ -80,10 +80,10 @@
     events: list[Event] = []
 
 
-class Lease(msgspec.Struct):
+class LeaseResponse(msgspec.Struct):
     """The answer to a grant or a keep-alive; a `TTL` of 0 is a lease that is gone."""
 
-    header: Header = msgspec.field(default_factory=Header)
+    header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
     ID: int = 0
     TTL: int = 0
     error: str = ""
@@ -97,35 +97,39 @@
     response_range: _Ranged | None = None
 
 
-class Txn(msgspec.Struct):
+class TxnResponse(msgspec.Struct):
     """The answer to a claim. Where it failed, what stands in its way."""
 
-    header: Header
+    header: ResponseHeader
     succeeded: bool = False
     responses: list[_Response] = []
 
     @property
-    def found(self) -> KeyValue | None:
+    def existing(self) -> KeyValue | None:
         """What stood in the way; None where there was nothing, or nothing was asked."""
         kvs = [kv for r in self.responses if r.response_range for kv in r.response_range.kvs]
         return kvs[0] if kvs else None
 
-    def won(self, lease: int) -> bool:
+    def claimed(self, lease: int) -> bool:
         """Whether the key is under that lease: put just now, or by a claim whose answer was lost."""
-        return self.succeeded or (self.found is not None and self.found.lease == lease)
+        return self.succeeded or (self.existing is not None and self.existing.lease == lease)
 
     @property
-    def shown(self) -> tuple[int, int, bytes | None]:
+    def conflict(self) -> tuple[int, int, bytes | None]:
         """After a swap that failed: the revision, the key's version and value; 0 and None without a key."""
-        found = self.found
-        return self.header.revision, found.mod_revision if found else 0, found.value if found else None
+        existing = self.existing
+        return (
+            self.header.revision,
+            existing.mod_revision if existing else 0,
+            existing.value if existing else None,
+        )
 
 
-class Put(msgspec.Struct):
-    header: Header
+class PutResponse(msgspec.Struct):
+    header: ResponseHeader
 
 
-class Token(msgspec.Struct):
+class AuthenticateResponse(msgspec.Struct):
     token: str = ""
 
 
@@ -143,11 +147,11 @@
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
-def b64(data: str | bytes) -> str:
+def encode_base64(data: str | bytes) -> str:
     return base64.b64encode(data.encode() if isinstance(data, str) else data).decode("ascii")
 
 
-def end_of(prefix: str) -> bytes:
+def prefix_end(prefix: str) -> bytes:
     """The end of the range of all keys with a prefix (etcd, "Interacting": prefix ranges)."""
     data = prefix.encode()
     for i in range(len(data) - 1, -1, -1):
@@ -158,7 +162,7 @@
 
 def range_body(first: str | bytes, end: bytes, revision: int = 0, limit: int = 0) -> bytes:
     """Keys in order, at a revision or (0) as they are now, linearizable."""
-    asked = {"key": b64(first), "range_end": b64(end)}
+    asked = {"key": encode_base64(first), "range_end": encode_base64(end)}
     if revision:
         asked["revision"] = str(revision)
     if limit:
@@ -169,32 +173,39 @@
 def watch_body(prefix: str, start: int) -> bytes:
     """Every change from a revision on, with notes of progress, large replies in fragments."""
     create = {
-        "key": b64(prefix), "range_end": b64(end_of(prefix)), "start_revision": str(start),
-        "progress_notify": True, "fragment": True,
-    }  # fmt: skip
+        "key": encode_base64(prefix),
+        "range_end": encode_base64(prefix_end(prefix)),
+        "start_revision": str(start),
+        "progress_notify": True,
+        "fragment": True,
+    }
     return msgspec.json.encode({"create_request": create})
 
 
 def put_body(key: str, value: bytes, lease: int = 0) -> bytes:
-    return msgspec.json.encode({"key": b64(key), "value": b64(value), "lease": str(lease)})
+    return msgspec.json.encode(
+        {"key": encode_base64(key), "value": encode_base64(value), "lease": str(lease)}
+    )
 
 
 def delete_body(key: str) -> bytes:
-    return msgspec.json.encode({"key": b64(key)})
+    return msgspec.json.encode({"key": encode_base64(key)})
 
 
 def claim_body(key: str, value: bytes, lease: int) -> bytes:
     """Put a key under a lease if nobody holds it (a transaction on its create revision), else read it."""
-    return _put_if(key, {"value": b64(value), "lease": str(lease)}, target="CREATE", create_revision="0")
+    return _put_if(
+        key, {"value": encode_base64(value), "lease": str(lease)}, target="CREATE", create_revision="0"
+    )
 
 
 def swap_body(key: str, base: int, value: bytes) -> bytes:
     """Put a key if its mod revision is `base` still (0: if there is none), else read it."""
-    return _put_if(key, {"value": b64(value)}, target="MOD", mod_revision=str(base))
+    return _put_if(key, {"value": encode_base64(value)}, target="MOD", mod_revision=str(base))
 
 
 def _put_if(key: str, put: dict, **equal: str) -> bytes:
-    there = {"key": b64(key)}
+    there = {"key": encode_base64(key)}
     compare = there | {"result": "EQUAL"} | equal
     success, failure = [{"request_put": there | put}], [{"request_range": there}]
     return msgspec.json.encode({"compare": [compare], "success": success, "failure": failure})
@@ -212,42 +223,42 @@
     return msgspec.json.encode({"name": user, "password": password})
 
 
-def read(data: bytes, kind: type):
+def decode_reply(data: bytes, kind: type):
     """A unary reply; raises Refused for the server's refusal, Garbled for anything else."""
     try:
         return msgspec.json.decode(data, type=kind, strict=False)
     except msgspec.MsgspecError as fault:
-        raise _refusal(data) or Garbled(f"not a {kind.__name__}: {fault}") from fault
+        raise _decode_error(data) or MalformedReplyError(f"not a {kind.__name__}: {fault}") from fault
 
 
-def refusal(data: bytes) -> Exception:
+def decode_error(data: bytes) -> Exception:
     """What a reply with an error status says."""
-    return _refusal(data) or Garbled("an error without a reason")
+    return _decode_error(data) or MalformedReplyError("an error without a reason")
 
 
-def _refusal(data: bytes) -> Refused | None:
+def _decode_error(data: bytes) -> EtcdError | None:
     try:
         fault = msgspec.json.decode(data, type=_Fault, strict=False)
     except msgspec.MsgspecError:
         return None
     message = fault.message or fault.error
-    return Refused(fault.code or fault.grpc_code, message) if message else None
+    return EtcdError(fault.code or fault.grpc_code, message) if message else None
 
 
-def read_line(line: bytes, kind: type):
+def decode_stream_line(line: bytes, kind: type):
     """One object of a stream; raises Refused or Garbled."""
     try:
         part = msgspec.json.decode(line, type=_Line)
     except msgspec.MsgspecError as fault:
-        raise Garbled(f"not a line of a stream: {fault}") from fault
+        raise MalformedReplyError(f"not a line of a stream: {fault}") from fault
     if bytes(part.error):
-        raise refusal(bytes(part.error))
+        raise decode_error(bytes(part.error))
     if not bytes(part.result):
-        raise Garbled("a line with neither result nor error")
-    return read(bytes(part.result), kind)
+        raise MalformedReplyError("a line with neither result nor error")
+    return decode_reply(bytes(part.result), kind)
 
 
-class Frames:
+class LineSplitter:
     """A stream's bytes cut into its lines; one that is longer than FRAME is refused, not kept."""
 
     def __init__(self):
@@ -261,6 +272,6 @@
             self._kept = bytearray(rest)
         else:
             self._kept += rest
-        if len(self._kept) > FRAME:
-            raise Garbled("a line longer than is taken")
+        if len(self._kept) > MAX_LINE_BYTES:
+            raise MalformedReplyError("a line longer than is taken")
         return [line for line in lines if line.strip()]
--- a/herongap/etcd/directory.py
+++ b/herongap/etcd/registry.py
@@ -7,12 +7,12 @@
 
 from collections.abc import Iterable
 
-from herongap.etcd.follower import Change, Item
-from herongap.etcd.keys import Bad, StreamerValue, read_value, split
+from herongap.etcd.follower import KeyChange, KeyEntry
+from herongap.etcd.keys import InvalidValueError, StreamerValue, decode_value, split_key
 from herongap.interface import StreamerEntry, StreamerStatus
 
 
-class Directory:
+class Registry:
     """Streamers, drains and controllers under a prefix.
 
     `epoch` is the host's clock at the zero of the epoch, which streamers state their start in.
@@ -21,24 +21,24 @@
     def __init__(self, prefix: str, epoch: float):
         self.prefix, self.epoch = prefix, epoch
         self.streamers: dict[str, StreamerValue] = {}
-        self.started: dict[str, float | None] = {}
+        self.started_at: dict[str, float | None] = {}
         self.drains: set[str] = set()
         self.controllers: dict[int, str] = {}
-        self.bad: dict[str, str] = {}
-        self._gone: dict[str, StreamerEntry] = {}
+        self.bad_values: dict[str, str] = {}
+        self._removed: dict[str, StreamerEntry] = {}
 
-    def take(self, now: float, changes: Iterable[Change], first: bool = False) -> set[str]:
+    def apply(self, now: float, changes: Iterable[KeyChange], first: bool = False) -> set[str]:
         """Changes of keys; gives the streamers whose lines are others now.
 
         `first` says that nothing was known before: what is found then may have run for long.
         """
         touched = set()
         for change in changes:
-            named = split(self.prefix, change.key)
+            named = split_key(self.prefix, change.key)
             if named is None:
                 continue
             kind, name = named
-            self.bad.pop(change.key, None)
+            self.bad_values.pop(change.key, None)
             if kind == "streamers":
                 if change.new is None:
                     self._leave(name)
@@ -50,81 +50,81 @@
                 touched.add(name)
             else:
                 self._take_controller(name, change)
-        return {name for name in touched if name in self.streamers or name in self._gone}
+        return {name for name in touched if name in self.streamers or name in self._removed}
 
-    def _take_streamer(self, now: float, name: str, change: Change, first: bool) -> None:
-        anew = change.old is None or change.replaced
+    def _take_streamer(self, now: float, name: str, change: KeyChange, first: bool) -> None:
+        anew = change.old is None or change.recreated
         try:
             value = self._read("streamers", change.key, change.new)
-        except Bad:
+        except InvalidValueError:
             # The last good value is still the best word on the same process, and none on another.
             if anew:
                 self._leave(name)
             return
-        known = self.started.get(name)
+        known = self.started_at.get(name)
         if value.started is not None:
             known = value.started + self.epoch
         elif anew and not first:
             known = now
-        self.streamers[name], self.started[name] = value, known
-        self._gone.pop(name, None)
+        self.streamers[name], self.started_at[name] = value, known
+        self._removed.pop(name, None)
 
-    def _take_drain(self, name: str, change: Change) -> None:
+    def _take_drain(self, name: str, change: KeyChange) -> None:
         if change.new is None:
             self.drains.discard(name)
             return
         self.drains.add(name)
         try:
             self._read("drains", change.key, change.new)
-        except Bad:
+        except InvalidValueError:
             return  # named in `bad`, and drained all the same: to send work there would be the worse mistake
 
-    def _take_controller(self, name: str, change: Change) -> None:
+    def _take_controller(self, name: str, change: KeyChange) -> None:
         if not name.isdigit():
-            self.bad[change.key] = "not a controller's number"
+            self.bad_values[change.key] = "not a controller's number"
             return
         self.controllers.pop(int(name), None)
         if change.new is None:
             return
         try:
             self.controllers[int(name)] = self._read("controllers", change.key, change.new).name
-        except Bad:
+        except InvalidValueError:
             # It holds the number, under whatever name: it counts as live.
             self.controllers[int(name)] = ""
 
-    def _read(self, kind: str, key: str, item: Item):
+    def _read(self, kind: str, key: str, item: KeyEntry):
         try:
-            return read_value(kind, item.value)
-        except Bad as fault:
-            self.bad[key] = str(fault)
+            return decode_value(kind, item.value)
+        except InvalidValueError as fault:
+            self.bad_values[key] = str(fault)
             raise
 
     def _leave(self, name: str) -> None:
         if name in self.streamers:
-            self._gone[name] = self.line(name)._replace(status=StreamerStatus.LEFT)
-            del self.streamers[name], self.started[name]
+            self._removed[name] = self.entry(name)._replace(status=StreamerStatus.LEFT)
+            del self.streamers[name], self.started_at[name]
 
-    def line(self, name: str) -> StreamerEntry:
+    def entry(self, name: str) -> StreamerEntry:
         """A streamer as the module wants it; one that is no longer listed has left."""
         value = self.streamers.get(name)
         if value is None:
-            return self._gone[name]
+            return self._removed[name]
         standing = StreamerStatus.LEAVING if name in self.drains else StreamerStatus.ACTIVE
         cell, rack = value.cell or name, value.rack or name
-        started = self.started[name]
+        started = self.started_at[name]
         return StreamerEntry(name, value.zone, value.kind, name, cell, rack, standing, value.weight, started)
 
-    def lines(self, names: Iterable[str]) -> tuple[StreamerEntry, ...]:
+    def entries(self, names: Iterable[str]) -> tuple[StreamerEntry, ...]:
         """The lines of some streamers; those that have left are forgotten with it."""
-        found = tuple(self.line(name) for name in sorted(names))
-        for line in found:
-            self._gone.pop(line.streamer, None)
+        found = tuple(self.entry(name) for name in sorted(names))
+        for entry in found:
+            self._removed.pop(entry.streamer, None)
         return found
 
-    def whole(self) -> tuple[StreamerEntry, ...]:
+    def all_entries(self) -> tuple[StreamerEntry, ...]:
         """The whole list."""
-        self._gone.clear()
-        return self.lines(self.streamers)
+        self._removed.clear()
+        return self.entries(self.streamers)
 
     def addresses(self, names: Iterable[str]) -> dict[str, tuple[str, int]]:
         """Where some streamers are reached, those that are listed."""
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from herongap.etcd.membership import SETTLE
+from herongap.etcd.membership import SETTLE_SECONDS
 from herongap.fleet import day as days
 from herongap.fleet.clock import Clock, stream
 from herongap.fleet.day import LOOK, Arrival, Day, Listing, Order, Script
@@ -605,7 +605,7 @@
         for rank, number in enumerate(sorted(live)):
             front = self.fronts[number]
             if front:
-                settled = now >= front.began + SETTLE
+                settled = now >= front.began + SETTLE_SECONDS
                 front.host.counted(now, rank if settled else None, len(live))
 
     def _front_gone(self, front: Front) -> None:
@@ -624,7 +624,7 @@
         self._list_to(front)
         if self.day.size.counted == "live":
             self._recount()
-            self.clock.after(SETTLE, self._recount)
+            self.clock.after(SETTLE_SECONDS, self._recount)
 
 
 def _site(day: Day, number: int, seed: int) -> Site:
--- a/herongap/fleet/settling.py
+++ b/herongap/fleet/settling.py
@@ -13,7 +13,7 @@
 
 from herongap.accord import Division, Kind, Shares, Terms
 from herongap.accord.shares import divided, with_whole
-from herongap.etcd.membership import Membership, Step
+from herongap.etcd.membership import LeaseRequest, Membership
 from herongap.fleet.clock import Clock
 
 TICK = 0.05  # seconds between two looks of a controller at what is due
@@ -91,12 +91,12 @@
 
     def tick(self) -> None:
         world, now = self.world, self.clock()
-        if not self.busy and (step := self.member.step(now)):
+        if not self.busy and (step := self.member.next_request(now)):
             self.busy = True
             self._lease(step, now)
-        holds = self.member.holds(now)
+        holds = self.member.holds_number(now)
         for shares in self.shares.values():
-            shares.leased(self.life, self.member.until, holds, self.failing)
+            shares.leased(self.life, self.member.trusted_until, holds, self.failing)
             if (commit := shares.step(now, world.live())) is not None:
                 self._commit(shares, commit)
             for _ in range(shares.overdue(now)):
@@ -133,15 +133,15 @@
 
         self.world.ask(self, serve, heard, lambda: shares.unanswered(self.clock(), commit))
 
-    def _lease(self, step: Step, sent: float) -> None:
+    def _lease(self, step: LeaseRequest, sent: float) -> None:
         store, member, ttl, lease = self.world.store, self.member, self.world.ttl, self.member.lease
 
         def serve() -> tuple:
-            if step is Step.GRANT:
+            if step is LeaseRequest.GRANT:
                 made = next(store.ids)
                 store.leases[made] = self.world.now + ttl
                 return made, ttl
-            if step is Step.KEEP:
+            if step is LeaseRequest.KEEP_ALIVE:
                 if lease in store.leases:
                     store.leases[lease] = self.world.now + ttl
                 return lease, ttl if lease in store.leases else 0
@@ -153,11 +153,11 @@
 
         def heard(got: tuple) -> None:
             self.busy = False
-            if step is Step.GRANT:
-                member.granted(sent, *got)
-            elif step is Step.KEEP:
+            if step is LeaseRequest.GRANT:
+                member.lease_granted(sent, *got)
+            elif step is LeaseRequest.KEEP_ALIVE:
                 if member.lease == lease:
-                    member.kept(sent, got[1])
+                    member.keepalive_answered(sent, got[1])
                     self.failing = False
             elif member.lease == lease:
                 self.life = got[0]
@@ -165,7 +165,7 @@
 
         def failed() -> None:
             self.busy, self.failing = False, True
-            member.failed(self.clock())
+            member.request_failed(self.clock())
 
         self.world.ask(self, serve, heard, failed)
 
--- a/herongap/fleet/worlds.py
+++ b/herongap/fleet/worlds.py
@@ -15,9 +15,9 @@
 
 from herongap.accord import Commit, Ledger, Outcome
 from herongap.etcd import membership as rules_of_leases
-from herongap.etcd.follower import Follower, Item, Need, Told
-from herongap.etcd.membership import Membership, Step
-from herongap.etcd.messages import Event, Header, KeyValue, Range, Watch
+from herongap.etcd.follower import KeyEntry, MessageOutcome, NextAction, PrefixFollower
+from herongap.etcd.membership import LeaseRequest, Membership
+from herongap.etcd.messages import Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse
 
 CLUSTER = 7
 KEYS = ("drain", "streamer")
@@ -41,16 +41,16 @@
     compacted: int = 0
     behind: int = 0  # where the second member stands
 
-    def at(self, revision: int) -> dict[str, Item]:
+    def at(self, revision: int) -> dict[str, KeyEntry]:
         """The truth at a revision; the empty store's is 1."""
-        items: dict[str, Item] = {}
+        items: dict[str, KeyEntry] = {}
         for rev, op in enumerate(self.ops[: max(0, revision - 1)], 2):
             key = KEYS[op % 2]
             if op >= 2:
                 items.pop(key, None)
             else:
-                create = items[key].create if key in items else rev
-                items[key] = Item(b"%d" % rev, create, rev)
+                create = items[key].create_revision if key in items else rev
+                items[key] = KeyEntry(b"%d" % rev, create, rev)
         return items
 
     def revision(self, member: int) -> int:
@@ -62,38 +62,47 @@
         if op >= 2:
             return Event(KeyValue(key, mod_revision=revision), "DELETE")
         item = self.at(revision)[KEYS[op % 2]]
-        return Event(KeyValue(key, item.value, item.create, item.mod))
+        return Event(KeyValue(key, item.value, item.create_revision, item.mod_revision))
 
 
-def _freeze(f: Follower) -> tuple:
+def _freeze(f: PrefixFollower) -> tuple:
     pages = None if f._pages is None else tuple(sorted(f._pages.items()))
-    parts = tuple((e.kv.mod_revision) for e in f._parts)
-    return (f.revision, f.seen, f.need, f.watching, tuple(sorted(f.items.items())), pages, f._at, parts)
+    parts = tuple((e.kv.mod_revision) for e in f._fragments)
+    return (
+        f.revision,
+        f.highest_revision,
+        f.next_action,
+        f.watching,
+        tuple(sorted(f.items.items())),
+        pages,
+        f._read_revision,
+        parts,
+    )
 
 
-def _thaw(state: tuple, store: Store, make: type) -> Follower:
+def _thaw(state: tuple, store: Store, make: type) -> PrefixFollower:
     revision, seen, need, watching, items, pages, at, parts = state
     f = make(CLUSTER, revision, dict(items))
-    f.seen, f.need, f.watching = seen, need, watching
-    f._pages, f._at = None if pages is None else dict(pages), at
-    f._parts = [store.event(rev) for rev in parts]
+    f.highest_revision, f.next_action, f.watching = seen, need, watching
+    f._pages, f._read_revision = None if pages is None else dict(pages), at
+    f._fragments = [store.event(rev) for rev in parts]
     return f
 
 
-def _message(store: Store, sent: tuple) -> Watch:
+def _message(store: Store, sent: tuple) -> WatchResponse:
     kind, revision, *rest = sent
-    header = Header(CLUSTER, revision=revision)
+    header = ResponseHeader(CLUSTER, revision=revision)
     match kind:
         case "created":
-            return Watch(header, created=True)
+            return WatchResponse(header, created=True)
         case "cancel":
-            return Watch(header, canceled=True, compact_revision=rest[0])
+            return WatchResponse(header, canceled=True, compact_revision=rest[0])
         case "progress":
-            return Watch(header)
-    return Watch(header, fragment=kind == "fragment", events=[store.event(rev) for rev in rest])
+            return WatchResponse(header)
+    return WatchResponse(header, fragment=kind == "fragment", events=[store.event(rev) for rev in rest])
 
 
-def following(ops: int = 3, make: type = Follower, repeats: bool = True) -> Protocol:
+def following(ops: int = 3, make: type = PrefixFollower, repeats: bool = True) -> Protocol:
     """The world with at most `ops` changes of the store; `make` is the follower that is checked."""
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
@@ -109,47 +118,49 @@
         if store.compacted < store.revision(0):
             yield "compact", (store._replace(compacted=store.revision(0)), frozen, stream, False)
         if stream is None:
-            yield from reads(store, frozen) if frozen[2] is Need.READ else watches(store, frozen)
+            yield from reads(store, frozen) if frozen[2] is NextAction.READ else watches(store, frozen)
             return
-        yield "cut", after(store, frozen, None, lambda f: f.broke(f.turn))
+        yield "cut", after(store, frozen, None, lambda f: f.stop_watch(f.watch_number))
         yield from sends(store, frozen, stream)
         if stream.queue:
             sent, *rest = stream.queue
             shorter = stream._replace(queue=tuple(rest))
             yield (
                 f"deliver {sent}",
-                after(store, frozen, shorter, lambda f: f.watched(f.turn, _message(store, sent))),
+                after(
+                    store, frozen, shorter, lambda f: f.handle_watch(f.watch_number, _message(store, sent))
+                ),
             )
 
     def after(store: Store, frozen: tuple, stream: Stream | None, call) -> tuple:
         f = _thaw(frozen, store, make)
         told = call(f)
-        if told in (Told.BEHIND, Told.ENDED, Told.COMPACTED):
+        if told in (MessageOutcome.MEMBER_BEHIND, MessageOutcome.CANCELED, MessageOutcome.COMPACTED):
             # What the client does then: it lets go of this stream.
-            f.broke(f.turn)
+            f.stop_watch(f.watch_number)
             stream = None
         older = f.revision < frozen[0] or any(
-            key in f.items and f.items[key].mod < item.mod for key, item in frozen[4]
+            key in f.items and f.items[key].mod_revision < item.mod_revision for key, item in frozen[4]
         )
         return store, _freeze(f), stream, older
 
     def reads(store: Store, frozen: tuple) -> Iterator:
         for member in (0, 1):
-            start, pinned = _thaw(frozen, store, make).read_from()
+            start, pinned = _thaw(frozen, store, make).next_page_start()
             here = store.revision(member)
             if pinned and (pinned < store.compacted or pinned > here):
-                yield f"read refused by {member}", after(store, frozen, None, lambda f: f.unread())
+                yield f"read refused by {member}", after(store, frozen, None, lambda f: f.abort_read())
                 continue
             items = sorted((k, v) for k, v in store.at(pinned or here).items() if k > start)
-            page = [KeyValue(k.encode(), v.value, v.create, v.mod) for k, v in items[:1]]
-            reply = Range(Header(CLUSTER, revision=here), page, more=len(items) > 1)
-            yield f"read a page of {member}", after(store, frozen, None, lambda f, r=reply: f.paged(r))
-        yield "read breaks", after(store, frozen, None, lambda f: f.unread())
+            page = [KeyValue(k.encode(), v.value, v.create_revision, v.mod_revision) for k, v in items[:1]]
+            reply = RangeResponse(ResponseHeader(CLUSTER, revision=here), page, more=len(items) > 1)
+            yield f"read a page of {member}", after(store, frozen, None, lambda f, r=reply: f.handle_page(r))
+        yield "read breaks", after(store, frozen, None, lambda f: f.abort_read())
 
     def watches(store: Store, frozen: tuple) -> Iterator:
         for member in (0, 1):
             f = _thaw(frozen, store, make)
-            _, start = f.watch_from()
+            _, start = f.start_watch()
             here = store.revision(member)
             queue: tuple = (("created", here),)
             if start <= store.compacted and start <= here:
@@ -178,7 +189,7 @@
 
     def steady(state: dict) -> bool:
         store, (revision, _, need, watching, *_) = state["store"], state["follower"]
-        return need is Need.WATCH and watching and revision == store.revision(0)
+        return need is NextAction.WATCH and watching and revision == store.revision(0)
 
     return Protocol(
         name="following",
@@ -209,19 +220,19 @@
 class Mail(NamedTuple):
     """A request on its way (`answer` None) or its answer; `age` is how long ago it was sent."""
 
-    step: Step
+    step: LeaseRequest
     age: int
     answer: int | None = None
 
 
 def _off(m: Membership) -> tuple:
     """A membership by times from now; what is long past is all one."""
-    return m.lease, m.claimed, max(-1.0, m.until), max(0.0, m.due)
+    return m.lease, m.claimed, max(-1.0, m.trusted_until), max(0.0, m.next_due)
 
 
 def _on(state: tuple, make: type) -> Membership:
     m = make(1, 2, TTL)
-    m.lease, m.claimed, m.until, m.due = state
+    m.lease, m.claimed, m.trusted_until, m.next_due = state
     return m
 
 
@@ -238,7 +249,7 @@
         for who in (0, 1):
             m = _on(ours[who], make)
             if mail[who] is None:
-                step = m.step(0.0)
+                step = m.next_request(0.0)
                 if step:
                     yield f"{who} asks to {step.value}", put(state, who, m, Mail(step, 0))
             elif mail[who].answer is None:
@@ -257,10 +268,10 @@
     def met(state: tuple, who: int) -> tuple:
         server, ours, mail = state
         left, holder, sent = list(server.left), server.holder, mail[who]
-        if sent.step is Step.GRANT:
+        if sent.step is LeaseRequest.GRANT:
             left[who], answer = TTL, 1
             holder = None if holder == who else holder  # another lease: the number was put under the old one
-        elif sent.step is Step.KEEP:
+        elif sent.step is LeaseRequest.KEEP_ALIVE:
             answer = TTL if left[who] else 0
             left[who] = answer
         else:
@@ -271,24 +282,24 @@
         return Server(tuple(left), holder), ours, tuple(mail)
 
     def failed(m: Membership) -> Membership:
-        m.failed(0.0)
+        m.request_failed(0.0)
         return m
 
     def heard(m: Membership, sent: Mail) -> Membership:
         at = float(-sent.age)
-        if sent.step is Step.GRANT:
-            m.granted(at, 1, TTL)
-        elif sent.step is Step.KEEP:
-            m.kept(at, sent.answer)
+        if sent.step is LeaseRequest.GRANT:
+            m.lease_granted(at, 1, TTL)
+        elif sent.step is LeaseRequest.KEEP_ALIVE:
+            m.keepalive_answered(at, sent.answer)
         else:
             m.claim_answered(0.0, at, bool(sent.answer))
         return m
 
     def one(state: dict) -> bool:
-        return sum(_on(m, make).holds(0.0) for m in state["controllers"]) < 2
+        return sum(_on(m, make).holds_number(0.0) for m in state["controllers"]) < 2
 
     def truly(state: dict) -> bool:
-        held = [who for who, m in enumerate(state["controllers"]) if _on(m, make).holds(0.0)]
+        held = [who for who, m in enumerate(state["controllers"]) if _on(m, make).holds_number(0.0)]
         return all(state["server"].holder == who for who in held)
 
     start = _off(make(1, 2, TTL))
@@ -302,7 +313,7 @@
             "one number, one holder": one,
             "who trusts its number holds it at the server": truly,
         },
-        goal=lambda state: any(_on(m, make).holds(0.0) for m in state["controllers"]),
+        goal=lambda state: any(_on(m, make).holds_number(0.0) for m in state["controllers"]),
     )
 
 
@@ -402,38 +413,38 @@
 # Machines with a mistake, each with what must be found.
 
 
-class Skips(Follower):
+class Skips(PrefixFollower):
     """Watches from one revision too late."""
 
-    def watch_from(self):
-        turn, start = super().watch_from()
+    def start_watch(self):
+        turn, start = super().start_watch()
         return turn, start + 1
 
 
-class Trusts(Follower):
+class Trusts(PrefixFollower):
     """Believes a member that is behind."""
 
-    def paged(self, reply):
-        self.seen = 0
-        return super().paged(reply)
+    def handle_page(self, reply):
+        self.highest_revision = 0
+        return super().handle_page(reply)
 
 
-class GoesOn(Follower):
+class GoesOn(PrefixFollower):
     """Watches on from where the history begins, after a compaction."""
 
-    def watched(self, turn, reply):
-        told = super().watched(turn, reply)
-        if told is Told.COMPACTED:
-            self.need, self.revision = Need.WATCH, max(self.revision, reply.compact_revision)
+    def handle_watch(self, turn, reply):
+        told = super().handle_watch(turn, reply)
+        if told is MessageOutcome.COMPACTED:
+            self.next_action, self.revision = NextAction.WATCH, max(self.revision, reply.compact_revision)
         return told
 
 
-class Halves(Follower):
+class Halves(PrefixFollower):
     """Takes what lies between two fragments for whole."""
 
-    def watched(self, turn, reply):
-        told = super().watched(turn, reply)
-        if told is Told.PART:
+    def handle_watch(self, turn, reply):
+        told = super().handle_watch(turn, reply)
+        if told is MessageOutcome.PARTIAL:
             self.revision = max(self.revision, reply.header.revision)
         return told
 
@@ -441,11 +452,11 @@
 class TrustsLate(Membership):
     """Counts a lease from when its answer came."""
 
-    def granted(self, sent, lease, ttl):
-        super().granted(0.0, lease, ttl)
+    def lease_granted(self, sent, lease, ttl):
+        super().lease_granted(0.0, lease, ttl)
 
-    def kept(self, sent, ttl):
-        super().kept(0.0, ttl)
+    def keepalive_answered(self, sent, ttl):
+        super().keepalive_answered(0.0, ttl)
 
 
 class Stretches(Membership):
@@ -453,7 +464,7 @@
 
     def claim_answered(self, now, sent, won):
         super().claim_answered(now, sent, won)
-        self.until = max(self.until, sent + self.ttl - rules_of_leases.MARGIN)
+        self.trusted_until = max(self.trusted_until, sent + self.ttl - rules_of_leases.CLOCK_MARGIN_SECONDS)
 
 
 class GivesUp(Ledger):
--- a/herongap/http.py
+++ b/herongap/http.py
@@ -42,11 +42,15 @@
     "overloaded": (503, "This front takes no more sessions now"),
     "stopping": (503, "This front is stopping"),
 }
-URN = "urn:herongap:problem:"
-PROBLEM_JSON, SDP, FRAGMENT = "application/problem+json", "application/sdp", "application/trickle-ice-sdpfrag"
+PROBLEM_URN = "urn:herongap:problem:"
+PROBLEM_JSON, SDP, ICE_FRAGMENT = (
+    "application/problem+json",
+    "application/sdp",
+    "application/trickle-ice-sdpfrag",
+)
 
 
-class BadUrl(Unusable):
+class UrlError(Unusable):
     """An address of a streamer or of a member that is no http URL."""
 
     advice = "write it as http://HOST:PORT in the list, or in the file that names it"
@@ -92,7 +96,7 @@
     """An error in `application/problem+json`; `kind` is a key of PROBLEMS."""
     status, title = PROBLEMS[kind]
     body = {
-        "type": URN + kind,
+        "type": PROBLEM_URN + kind,
         "title": title,
         "status": status,
         **({"detail": detail} if detail else {}),
@@ -101,16 +105,16 @@
     return Reply(status, (("Content-Type", PROBLEM_JSON), *headers), json.dumps(body).encode())
 
 
-def kind_of(body: bytes) -> str:
+def problem_kind(body: bytes) -> str:
     """The cause that a problem document names, "" where it is none of ours."""
     try:
         named = json.loads(body).get("type", "")
     except (ValueError, AttributeError):
         return ""
-    return named.removeprefix(URN) if isinstance(named, str) else ""
+    return named.removeprefix(PROBLEM_URN) if isinstance(named, str) else ""
 
 
-def read_url(url: str) -> tuple[str, int]:
+def parse_url(url: str) -> tuple[str, int]:
     """Host and port of a streamer's URL; raises ValueError for any other than http://HOST:PORT."""
     try:
         parts = urlsplit(url)
@@ -118,10 +122,10 @@
             return parts.hostname, parts.port
     except ValueError:
         pass
-    raise BadUrl(f"url {url!r} is not http://HOST:PORT")
+    raise UrlError(f"url {url!r} is not http://HOST:PORT")
 
 
-class Target(NamedTuple):
+class LinkTarget(NamedTuple):
     """One target of a Link header (RFC 8288)."""
 
     url: str
@@ -133,12 +137,12 @@
 _PARAM = re.compile(r';\s*([\w*-]+)\s*(?:=\s*(?:"([^"]*)"|([^",;\s]+)))?')
 
 
-def read_links(value: str) -> list[Target]:
+def read_links(value: str) -> list[LinkTarget]:
     """The targets of a Link header; what cannot be read is passed over, as RFC 8288 asks."""
     found = []
     for match in _LINK.finditer(value):
         params = {name.lower(): quoted or bare for name, quoted, bare in _PARAM.findall(match[2])}
-        found += [Target(match[1], rel, params) for rel in params.pop("rel", "").split()]
+        found += [LinkTarget(match[1], rel, params) for rel in params.pop("rel", "").split()]
     return found
 
 
@@ -148,19 +152,19 @@
     return "Link", f'<{url}>; rel="{rel}"{more}'
 
 
-def bearer(request: Request) -> str | None:
+def bearer_token(request: Request) -> str | None:
     """The token of an `Authorization: Bearer` header (RFC 6750), None without one."""
     scheme, _, token = request.headers.get("authorization", "").partition(" ")
     return token.strip() or None if scheme.lower() == "bearer" else None
 
 
-def tag_matches(request: Request, tag: str) -> bool:
+def etag_matches(request: Request, tag: str) -> bool:
     """Whether If-Match (RFC 9110, 13.1.1; strong comparison) names this entity tag."""
     given = [part.strip() for part in request.headers.get("if-match", "").split(",")]
     return "*" in given or tag in given
 
 
-def wait_preferred(request: Request) -> float | None:
+def preferred_wait(request: Request) -> float | None:
     """The seconds of `Prefer: wait` (RFC 7240, 4.3), by which a client tells how long it will wait."""
     for part in request.headers.get("prefer", "").split(","):
         name, _, value = part.strip().partition("=")
--- a/herongap/ini/files.py
+++ b/herongap/ini/files.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from herongap.errors import Unusable
-from herongap.http import read_url
+from herongap.http import parse_url
 from herongap.interface import StreamerEntry, StreamerStatus
 
 
@@ -62,7 +62,7 @@
     lines, addresses = [], {}
     for e in entries:
         try:
-            address = read_url(e.url)
+            address = parse_url(e.url)
         except ValueError as fault:
             raise BadList(f"streamer {e.id}: {fault}") from fault
         if e.id in addresses:
--- a/herongap/orca.py
+++ b/herongap/orca.py
@@ -10,7 +10,7 @@
 
 from herongap.interface import LoadReport
 
-HEADER = "endpoint-load-metrics"
+LOAD_HEADER = "endpoint-load-metrics"
 
 
 def read_load(value: str | None) -> LoadReport | None:
--- a/herongap/sdp/__init__.py
+++ b/herongap/sdp/__init__.py
@@ -1,7 +1,16 @@
-"""Session descriptions (RFC 8866) as offers and answers of WebRTC (RFC 8829), without I/O."""
+"""Session descriptions (RFC 8866) as WebRTC offers and answers (RFC 8829), without I/O."""
 
-from herongap.sdp.answer import Endpoint, answer, offer
+from herongap.sdp.answer import Endpoint, create_answer, create_offer
 from herongap.sdp.fragment import Fragment, read_fragment
-from herongap.sdp.offer import BadSdp, Offer, read_offer
+from herongap.sdp.offer import Offer, SdpError, read_offer
 
-__all__ = ["BadSdp", "Endpoint", "Fragment", "Offer", "answer", "offer", "read_fragment", "read_offer"]
+__all__ = [
+    "Endpoint",
+    "Fragment",
+    "Offer",
+    "SdpError",
+    "create_answer",
+    "create_offer",
+    "read_fragment",
+    "read_offer",
+]
--- a/herongap/sdp/answer.py
+++ b/herongap/sdp/answer.py
@@ -7,7 +7,7 @@
 
 import sdp_transform
 
-from herongap.sdp.offer import BadSdp, Offer
+from herongap.sdp.offer import Offer, SdpError
 
 # Codecs by preference; a media section is answered with the first that was offered.
 CODECS = {"video": ("VP8", "H264", "VP9", "AV1"), "audio": ("opus", "PCMU")}
@@ -25,7 +25,7 @@
     session: int
 
 
-def answer(offered: Offer, me: Endpoint) -> str:
+def create_answer(offered: Offer, me: Endpoint) -> str:
     """An ICE-lite answer that takes every section with a codec of ours and refuses the others."""
     sections, mids = [], []
     # RFC 9725, 4.2: the answerer is passive, so that the client starts DTLS.
@@ -53,7 +53,7 @@
             }
         )
     if not mids:
-        raise BadSdp("no codec in common")
+        raise SdpError("no codec in common")
     return _write(me, sections, mids, icelite="ice-lite")
 
 
@@ -70,7 +70,7 @@
     }
 
 
-def offer(me: Endpoint, direction: str) -> str:
+def create_offer(me: Endpoint, direction: str) -> str:
     """An offer of one audio and one video section, "recvonly" or "sendonly"."""
     rtp = {
         "audio": [{"payload": 111, "codec": "opus", "rate": 48000, "encoding": 2}],
--- a/herongap/sdp/fragment.py
+++ b/herongap/sdp/fragment.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from herongap.sdp.offer import BadSdp
+from herongap.sdp.offer import SdpError
 
 
 class Fragment(NamedTuple):
@@ -19,14 +19,14 @@
     try:
         lines = body.decode("utf-8").splitlines()
     except UnicodeDecodeError as fault:
-        raise BadSdp("not UTF-8") from fault
+        raise SdpError("not UTF-8") from fault
     ufrag = pwd = mid = ""
     candidates, complete, media = [], False, False
     for number, line in enumerate(lines, 1):
         if not line:
             continue
         if line[1:2] != "=" or line[0] not in "am":
-            raise BadSdp(f"line {number}: only a= and m= lines stand in a fragment")
+            raise SdpError(f"line {number}: only a= and m= lines stand in a fragment")
         if line[0] == "m":
             media = True
             continue
@@ -39,14 +39,14 @@
             mid = value
         elif name == "candidate":
             if not media:
-                raise BadSdp(f"line {number}: a candidate before any m= line")
+                raise SdpError(f"line {number}: a candidate before any m= line")
             if len(value.split()) < 8:
-                raise BadSdp(f"line {number}: a candidate has at least eight fields")
+                raise SdpError(f"line {number}: a candidate has at least eight fields")
             candidates.append((mid, value))
         elif name == "end-of-candidates":
             complete = True
     if not ufrag or not pwd:
-        raise BadSdp("a fragment names its ice-ufrag and ice-pwd")
+        raise SdpError("a fragment names its ice-ufrag and ice-pwd")
     return Fragment(ufrag, pwd, tuple(candidates), complete)
 
 
--- a/herongap/sdp/offer.py
+++ b/herongap/sdp/offer.py
@@ -11,7 +11,7 @@
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
 
 
-class BadSdp(Unusable):
+class SdpError(Unusable):
     """A description that cannot be used; the text says what is wrong with it."""
 
     advice = "see who sent it; it is answered with 400 or 422"
@@ -39,21 +39,21 @@
     try:
         text = body.decode("utf-8")
     except UnicodeDecodeError as fault:
-        raise BadSdp("not UTF-8") from fault
+        raise SdpError("not UTF-8") from fault
     lines = text.splitlines()
     for place, start in enumerate(REQUIRED):
         if len(lines) <= place or not lines[place].startswith(start):
-            raise BadSdp(f"line {place + 1} must begin with {start!r}")
+            raise SdpError(f"line {place + 1} must begin with {start!r}")
     for number, line in enumerate(lines, 1):
         if line and (len(line) < 2 or line[1] != "=" or not line[0].isalpha()):
-            raise BadSdp(f"line {number} is not of the form x=value")
+            raise SdpError(f"line {number} is not of the form x=value")
     try:
         parsed = sdp_transform.parse(text)
     except Exception as fault:  # the parser's own errors are of many kinds, all of them about the text
-        raise BadSdp(f"cannot be parsed: {fault}") from fault
+        raise SdpError(f"cannot be parsed: {fault}") from fault
     media = tuple(m for m in parsed.get("media", ()) if m.get("port") != 0 or m.get("bundleOnly"))
     if not media:
-        raise BadSdp("no media section is offered")
+        raise SdpError("no media section is offered")
     found = [_check(parsed, m, direction) for m in media]
     if len(media) > 1:
         bundled = set()
@@ -61,35 +61,35 @@
             if group.get("type") == "BUNDLE":
                 bundled |= set(str(group.get("mids", "")).split())
         if not {str(m.get("mid")) for m in media} <= bundled:
-            raise BadSdp("the media sections are not all in one BUNDLE group")
+            raise SdpError("the media sections are not all in one BUNDLE group")
     origin = parsed.get("origin") or {}
     words = [str(origin.get(k, "")) for k in ("username", "sessionId", "sessionVersion", "address")]
     if not all(words):
-        raise BadSdp("the o= line is not whole")
+        raise SdpError("the o= line is not whole")
     return Offer((" ".join(words), *found[0]), direction, media, parsed)
 
 
 def _check(parsed: dict, media: dict, direction: str) -> tuple[str, str]:
     kind = media.get("type")
     if kind not in ("audio", "video"):
-        raise BadSdp(f"media of type {kind!r} is not served")
+        raise SdpError(f"media of type {kind!r} is not served")
     if not media.get("rtp"):
-        raise BadSdp(f"the {kind} section names no codec")
+        raise SdpError(f"the {kind} section names no codec")
 
     def of(name: str):
         return media.get(name) or parsed.get(name)
 
     for name, line in (("iceUfrag", "ice-ufrag"), ("icePwd", "ice-pwd"), ("fingerprint", "fingerprint")):
         if not of(name):
-            raise BadSdp(f"the {kind} section has no a={line}")
+            raise SdpError(f"the {kind} section has no a={line}")
     if not 4 <= len(str(of("iceUfrag"))) <= 256 or not 22 <= len(str(of("icePwd"))) <= 256:
-        raise BadSdp("ice-ufrag or ice-pwd has a length outside RFC 8839")  # section 5.4
+        raise SdpError("ice-ufrag or ice-pwd has a length outside RFC 8839")  # section 5.4
     if of("setup") not in ("actpass", "active"):
-        raise BadSdp("an offer's a=setup must be actpass")
+        raise SdpError("an offer's a=setup must be actpass")
     if not media.get("rtcpMux"):
-        raise BadSdp(f"the {kind} section lacks a=rtcp-mux")
+        raise SdpError(f"the {kind} section lacks a=rtcp-mux")
     told = media.get("direction", "sendrecv")
     if told not in (direction, "sendrecv"):
-        raise BadSdp(f"the {kind} section is {told}, it must be {direction}")
+        raise SdpError(f"the {kind} section is {told}, it must be {direction}")
     mark = of("fingerprint")
     return str(of("iceUfrag")), f"{mark.get('type')} {mark.get('hash')}"
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -17,7 +17,7 @@
 
 from herongap.daemon.listen import listen
 from herongap.daemon.wire import Peer, Server
-from herongap.etcd.messages import end_of
+from herongap.etcd.messages import prefix_end
 from herongap.http import Reply, Request
 from herongap.intake import Bounds
 from herongap.standins.errors import BadBase64
@@ -464,7 +464,7 @@
 def whole(history: History, prefix: str) -> dict[str, bytes]:
     """What a reader of the prefix finds now."""
     first = prefix.encode()
-    return {k.decode(): v["value"] for k, v in history.at(history.revision, first, end_of(prefix))}
+    return {k.decode(): v["value"] for k, v in history.at(history.revision, first, prefix_end(prefix))}
 
 
 def _kv(key: bytes, value: dict) -> dict:
--- a/herongap/standins/player.py
+++ b/herongap/standins/player.py
@@ -15,7 +15,7 @@
 import h11
 
 from herongap.daemon.wire import Address, Pool, call_once
-from herongap.http import Reply, kind_of
+from herongap.http import Reply, problem_kind
 
 NS = "{urn:mpeg:dash:schema:mpd:2011}"
 AHEAD = 6.0  # seconds of buffer at which it pauses
@@ -106,7 +106,7 @@
             self.name, "asked", identity=identity, target=self.target, patience=patience, front=self.front[1]
         )
         location = reply.header("content-location") if status == 200 else ""
-        kind = kind or (kind_of(reply.body) if status != 200 else "")
+        kind = kind or (problem_kind(reply.body) if status != 200 else "")
         self.log(
             self.name, "answered", identity=identity, asked=began, status=201 if status == 200 else status,
             kind=kind, taken=round(self.clock() - began, 4), front=self.front[1], location=location,
@@ -170,7 +170,7 @@
         self._use(took)
         self.statuses.append(reply.status)
         if reply.status != 200:
-            self.log(self.name, "segment-refused", status=reply.status, kind=kind_of(reply.body))
+            self.log(self.name, "segment-refused", status=reply.status, kind=problem_kind(reply.body))
             return False
         self.starved = False
         self.rate = m.rates[rung] * m.segment / max(took, 1e-3)
--- a/herongap/standins/segments.py
+++ b/herongap/standins/segments.py
@@ -13,7 +13,7 @@
 from gevent.lock import RLock
 
 from herongap.daemon.wire import Address, Hung, Peer, call_once
-from herongap.dash import Checker, Refusal, read_cmcd
+from herongap.dash import TokenError, TokenVerifier, read_cmcd
 from herongap.http import Reply, Request, problem
 
 THIN = 1000
@@ -32,7 +32,7 @@
     def __init__(self, streamer, wall=time.time):
         self.streamer, self.wall = streamer, wall
         self.fronts: list[Address] = []
-        self.checker = Checker(streamer.name, {"keys": []})
+        self.checker = TokenVerifier(streamer.name, {"keys": []})
         self.by_viewing: dict[str, object] = {}
         self.segment = 2.0
         self.fetched, self.fetching = float("-inf"), RLock()
@@ -47,7 +47,7 @@
             raise Hung
         try:
             grant = self._check(token, title)
-        except Refusal as refusal:
+        except TokenError as refusal:
             self.refused[refusal.kind] = self.refused.get(refusal.kind, 0) + 1
             kind = "not-allowed" if refusal.kind in ("elsewhere", "member", "title") else "token-refused"
             return problem(kind, refusal.kind, OPEN)
@@ -85,17 +85,17 @@
 
     def _check(self, token: str, title: str):
         try:
-            return self.checker.check(self.wall(), token, title)
-        except Refusal as refusal:
+            return self.checker.verify(self.wall(), token, title)
+        except TokenError as refusal:
             if refusal.kind != "unknown-key" or not self._fetch(refusal.kid):
                 raise
-        return self.checker.check(self.wall(), token, title)
+        return self.checker.verify(self.wall(), token, title)
 
     def _fetch(self, kid: str) -> bool:
         """Read the published keys; at most once in a while, whatever strangers' tokens name."""
         with self.fetching:
             # Whoever comes while the set is being fetched waits for it, and finds the key there.
-            if kid in self.checker.kids:
+            if kid in self.checker.key_ids:
                 return True
             now = self.streamer.clock()
             if now - self.fetched < FETCH:
@@ -105,7 +105,7 @@
 
     def _fetch_from(self, address: Address) -> bool:
         try:
-            self.checker.learn(json.loads(call_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body))
+            self.checker.set_keys(json.loads(call_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body))
             return True
         except (OSError, h11.ProtocolError, ValueError) as fault:
             self.streamer.log(self.streamer.name, "keys-not-read", cause=repr(fault)[:80])
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -15,13 +15,13 @@
 from herongap.fleet.machine import Machine, Session
 from herongap.http import SDP, Reply, Request, link, problem
 from herongap.intake import Bounds
-from herongap.orca import HEADER, write_load
-from herongap.sdp import BadSdp, Endpoint, answer
+from herongap.orca import LOAD_HEADER, write_load
+from herongap.sdp import Endpoint, SdpError, create_answer
 from herongap.standins import stun
 from herongap.standins.segments import Segments
 from herongap.whep import read_layer, write_event
 from herongap.whep.events import HEARTBEAT
-from herongap.whip import EVENTS, LAYERS, Resource, check_offer, created
+from herongap.whip import EVENTS_EXTENSION, LAYERS_EXTENSION, SessionResource, check_offer, created_reply
 
 BEAT = 0.8  # seconds between heartbeats of an event stream
 FINGERPRINT = ":".join(["5E"] * 32)
@@ -205,11 +205,11 @@
         else:
             me = self._endpoint(0)
             try:
-                text = answer(offer, me)
-            except BadSdp as fault:
+                text = create_answer(offer, me)
+            except SdpError as fault:
                 return self._refuse(identity, problem("offer-refused", str(fault)))
-            session.resource = Resource(name, offer.identity[1], me)
-            tag = session.resource.tag
+            session.resource = SessionResource(name, offer.identity[1], me)
+            tag = session.resource.etag
         self.machine.begin(self.clock(), session)
         self.log(self.name, "started", identity=identity, session=name, front=front, title=title, rung=rung)
         if "lose" in self.faults:
@@ -219,10 +219,12 @@
                 peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.sock.close()
             raise Hung
-        links = [link(f"/r/{name}/layer", LAYERS)]
+        links = [link(f"/r/{name}/layer", LAYERS_EXTENSION)]
         if protocol != "whip":
-            links.append(link(f"/events/{front or '-'}", EVENTS, events="active,inactive,layers,viewercount"))
-        return created(f"/r/{name}", tag, text.encode(), [*links, self._load_header()])
+            links.append(
+                link(f"/events/{front or '-'}", EVENTS_EXTENSION, events="active,inactive,layers,viewercount")
+            )
+        return created_reply(f"/r/{name}", tag, text.encode(), [*links, self._load_header()])
 
     def _endpoint(self, restart: int) -> Endpoint:
         number = f"{self.count}x{restart}"
@@ -237,7 +239,7 @@
         )
 
     def _load_header(self) -> tuple[str, str]:
-        return HEADER, write_load(self.machine.load())
+        return LOAD_HEADER, write_load(self.machine.load())
 
     def _layer(self, session: Session, request: Request) -> Reply:
         try:
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -11,8 +11,8 @@
 from gevent import socket
 
 from herongap.daemon.wire import Address, Call, call_once
-from herongap.http import FRAGMENT, SDP, Reply, kind_of
-from herongap.sdp import Endpoint, Fragment, offer
+from herongap.http import ICE_FRAGMENT, SDP, Reply, problem_kind
+from herongap.sdp import Endpoint, Fragment, create_offer
 from herongap.sdp.fragment import write_fragment
 from herongap.standins import stun
 
@@ -52,7 +52,7 @@
         number = self.random.getrandbits(52)
         mark = ":".join(f"{self.random.getrandbits(8):02X}" for _ in range(32))
         self.me = Endpoint(f"v{number:x}", f"{number:x}".rjust(24, "p"), mark, "127.0.0.1", 9, number)
-        self.offer = offer(self.me, self.direction)
+        self.offer = create_offer(self.me, self.direction)
         # As herongap.sdp reads it from the offer: what joins the viewer's log to the streamers'.
         self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {mark}"
 
@@ -66,7 +66,7 @@
             call = Call(self.front, 2.0)
             call.send("POST", self.target, [("Content-Type", SDP), *self.headers], self.offer.encode())
             reply = call.receive(patience if hang_up is None else hang_up)
-            status, kind = reply.status, kind_of(reply.body)
+            status, kind = reply.status, problem_kind(reply.body)
         except TimeoutError:
             kind = "gave-up" if hang_up is None else "hung-up"
         except (OSError, h11.ProtocolError) as fault:
@@ -123,7 +123,7 @@
         return reply
 
     def _patch(self, fragment: Fragment, tag: str) -> Reply:
-        headers = [("Content-Type", FRAGMENT), ("If-Match", tag)]
+        headers = [("Content-Type", ICE_FRAGMENT), ("If-Match", tag)]
         return self.call("PATCH", headers, write_fragment(fragment))
 
     def delete(self) -> int:
--- a/herongap/whep/events.py
+++ b/herongap/whep/events.py
@@ -10,10 +10,10 @@
 from herongap.errors import Unusable
 
 HEARTBEAT = b":\n\n"
-MOST = 65536  # bytes of one event; more is no event of ours
+MAX_EVENT_BYTES = 65536  # bytes of one event; more is no event of ours
 
 
-class BadEvent(Unusable):
+class EventError(Unusable):
     """An event of a stream that cannot be read."""
 
     advice = "see the streamer; its stream is made anew"
@@ -29,8 +29,8 @@
         """The events that are whole now, as (name, data)."""
         self._rest += data.replace(b"\r\n", b"\n")
         *whole, self._rest = self._rest.split(b"\n\n")
-        if len(self._rest) > MOST:
-            raise BadEvent("an event without an end")
+        if len(self._rest) > MAX_EVENT_BYTES:
+            raise EventError("an event without an end")
         return [event for block in whole if (event := _read(block))]
 
 
--- a/herongap/whep/layers.py
+++ b/herongap/whep/layers.py
@@ -5,7 +5,7 @@
 from herongap.errors import Unusable
 
 
-class NoSuchLayer(Unusable):
+class NoSuchLayerError(Unusable):
     """A layer that was asked for and does not exist."""
 
     advice = "nothing; the viewer is told"
@@ -20,8 +20,8 @@
     """The rung that a body chooses; raises ValueError."""
     chosen = json.loads(body)
     if not isinstance(chosen, dict) or not str(chosen.get("encodingId", "")).isdigit():
-        raise NoSuchLayer("encodingId names no encoding")
+        raise NoSuchLayerError("encodingId names no encoding")
     rung = int(chosen["encodingId"])
     if rung >= rungs:
-        raise NoSuchLayer(f"there are {rungs} encodings")
+        raise NoSuchLayerError(f"there are {rungs} encodings")
     return rung
--- a/herongap/whip/__init__.py
+++ b/herongap/whip/__init__.py
@@ -1,23 +1,23 @@
-"""WHIP (RFC 9725) and what WHEP (draft-ietf-wish-whep) shares with it, without I/O."""
+"""WHIP (RFC 9725) and the parts that WHEP (draft-ietf-wish-whep) shares with it, without I/O."""
 
 from herongap.whip.messages import (
-    EVENTS,
-    LAYERS,
+    EVENTS_EXTENSION,
+    LAYERS_EXTENSION,
     OPTIONS_HEADERS,
     check_offer,
     check_patch,
-    created,
+    created_reply,
     ice_links,
 )
-from herongap.whip.resource import Resource
+from herongap.whip.resource import SessionResource
 
 __all__ = [
-    "EVENTS",
-    "LAYERS",
+    "EVENTS_EXTENSION",
+    "LAYERS_EXTENSION",
     "OPTIONS_HEADERS",
-    "Resource",
+    "SessionResource",
     "check_offer",
     "check_patch",
-    "created",
+    "created_reply",
     "ice_links",
 ]
--- a/herongap/whip/messages.py
+++ b/herongap/whip/messages.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterable
 
-from herongap.http import FRAGMENT, SDP, Reply, Request, link, problem
-from herongap.sdp import BadSdp, Fragment, Offer, read_fragment, read_offer
+from herongap.http import ICE_FRAGMENT, SDP, Reply, Request, link, problem
+from herongap.sdp import Fragment, Offer, SdpError, read_fragment, read_offer
 
 # Extensions of WHEP, announced by Link.
-EVENTS = "urn:ietf:params:whep:ext:core:server-sent-events"
-LAYERS = "urn:ietf:params:whep:ext:core:layer"
+EVENTS_EXTENSION = "urn:ietf:params:whep:ext:core:server-sent-events"
+LAYERS_EXTENSION = "urn:ietf:params:whep:ext:core:layer"
 # RFC 9725, 4.2: what an endpoint says to OPTIONS; CORS (fetch) needs the rest, as players run in browsers.
 OPTIONS_HEADERS = (
     ("Accept-Post", SDP),
@@ -16,7 +16,7 @@
     ("Access-Control-Allow-Headers", "Authorization, Content-Type, If-Match, Idempotency-Key, Prefer"),
     ("Access-Control-Expose-Headers", "Location, ETag, Link, Retry-After"),
 )
-EXPOSED = OPTIONS_HEADERS[1], OPTIONS_HEADERS[4]
+CORS_HEADERS = OPTIONS_HEADERS[1], OPTIONS_HEADERS[4]
 # The side of the client: a publisher sends, a viewer receives.
 DIRECTIONS = {"whip": "sendonly", "whep": "recvonly"}
 
@@ -28,14 +28,14 @@
         return problem("bad-type", f"{protocol} takes {SDP}", [("Accept-Post", SDP)])
     try:
         return read_offer(request.body, DIRECTIONS[protocol])
-    except BadSdp as fault:
+    except SdpError as fault:
         return problem("bad-sdp", str(fault))
 
 
 def check_patch(request: Request) -> Fragment | Reply:
     """The fragment that a PATCH carries, or the reply that refuses it."""
-    if request.media_type != FRAGMENT:
-        return problem("bad-type", f"PATCH takes {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
+    if request.media_type != ICE_FRAGMENT:
+        return problem("bad-type", f"PATCH takes {ICE_FRAGMENT}", [("Accept-Patch", ICE_FRAGMENT)])
     if "if-match" not in request.headers:
         # RFC 9725, 4.3.1: without it an old fragment could pass for a new one after a restart.
         return problem(
@@ -43,14 +43,14 @@
         )
     try:
         return read_fragment(request.body)
-    except BadSdp as fault:
+    except SdpError as fault:
         return problem("bad-fragment", str(fault))
 
 
-def created(location: str, tag: str, answer: bytes, links: Iterable[tuple[str, str]] = ()) -> Reply:
+def created_reply(location: str, tag: str, answer: bytes, links: Iterable[tuple[str, str]] = ()) -> Reply:
     """201 with the answer (RFC 9725, 4.2)."""
-    head = ("Content-Type", SDP), ("Location", location), ("ETag", tag), ("Accept-Patch", FRAGMENT)
-    return Reply(201, (*head, *links, *EXPOSED), answer)
+    head = ("Content-Type", SDP), ("Location", location), ("ETag", tag), ("Accept-Patch", ICE_FRAGMENT)
+    return Reply(201, (*head, *links, *CORS_HEADERS), answer)
 
 
 def ice_links(servers: Iterable[str]) -> list[tuple[str, str]]:
--- a/herongap/whip/resource.py
+++ b/herongap/whip/resource.py
@@ -1,12 +1,12 @@
 """The session resource at the end that holds the media: trickled candidates, ICE restarts, entity tags."""
 
-from herongap.http import FRAGMENT, Reply, Request, problem, tag_matches
+from herongap.http import ICE_FRAGMENT, Reply, Request, etag_matches, problem
 from herongap.sdp import Endpoint, Fragment
 from herongap.sdp.fragment import write_fragment
-from herongap.whip.messages import EXPOSED, check_patch
+from herongap.whip.messages import CORS_HEADERS, check_patch
 
 
-class Resource:
+class SessionResource:
     """One session's ICE state. An entity tag names one ICE session (RFC 9725, 4.3.1)."""
 
     def __init__(self, name: str, remote_ufrag: str, me: Endpoint):
@@ -14,7 +14,7 @@
         self.restarts, self.candidates = 0, []
 
     @property
-    def tag(self) -> str:
+    def etag(self) -> str:
         return f'"{self.name}-{self.restarts}"'
 
     def patch(self, request: Request, fresh: Endpoint) -> Reply:
@@ -25,10 +25,10 @@
         if request.headers["if-match"].strip() == "*":
             # 4.3.3: a restart is a fragment with other credentials under `If-Match: *`.
             return self._restart(fragment, fresh)
-        if not tag_matches(request, self.tag) or fragment.ufrag != self.remote:
+        if not etag_matches(request, self.etag) or fragment.ufrag != self.remote:
             return problem("stale-tag")
         self.candidates += fragment.candidates
-        return Reply(204, (("ETag", self.tag), *EXPOSED))
+        return Reply(204, (("ETag", self.etag), *CORS_HEADERS))
 
     def _restart(self, fragment: Fragment, fresh: Endpoint) -> Reply:
         if fragment.ufrag == self.remote:
@@ -36,4 +36,4 @@
         self.remote, self.me, self.candidates = fragment.ufrag, fresh, list(fragment.candidates)
         self.restarts += 1
         mine = write_fragment(Fragment(fresh.ufrag, fresh.pwd, (), False))
-        return Reply(200, (("Content-Type", FRAGMENT), ("ETag", self.tag), *EXPOSED), mine)
+        return Reply(200, (("Content-Type", ICE_FRAGMENT), ("ETag", self.etag), *CORS_HEADERS), mine)
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -19,28 +19,28 @@
 from herongap.daemon.keys import Keys, Unsafe
 from herongap.dash import (
     Asset,
-    Checker,
-    Doubt,
-    Grant,
-    Key,
-    Refusal,
-    Ring,
+    EarlyReloadDetector,
+    KeyRotation,
+    SigningKey,
+    TokenClaims,
+    TokenError,
+    TokenVerifier,
     Video,
-    manifest,
+    build_manifest,
+    generate_key,
     mint,
-    new_key,
-    published,
+    public_jwks,
     read_cmcd,
 )
-from herongap.dash.mpd import SHIFT, segments
-from herongap.dash.ring import SKEW
-from herongap.dash.tokens import ALGORITHM, TYPE
+from herongap.dash.key_rotation import CLOCK_SKEW_SECONDS
+from herongap.dash.mpd import TIME_SHIFT_SECONDS, available_segments
+from herongap.dash.tokens import ALGORITHM, TOKEN_TYPE
 
 NS = "{urn:mpeg:dash:schema:mpd:2011}"
 VIDEOS = (Video(100.0), Video(300.0, width=640, height=360), Video(900.0))
 NOW = 1_800_000_000.0
-KEY = new_key("k1")
-GRANT = Grant("v0-1", "news", "standard", "m", 0, 2, "s3", NOW, NOW + 60)
+KEY = generate_key("k1")
+GRANT = TokenClaims("v0-1", "news", "standard", "m", 0, 2, "s3", NOW, NOW + 60)
 
 
 # Manifests, by the rules of ISO/IEC 23009-1.
@@ -92,7 +92,9 @@
 
 def made(asset=None, floor=0, top=2, now=NOW, **more):
     asset = asset or Asset(VIDEOS, 2.0, NOW - 100)
-    return check_mpd(manifest(asset, floor, top, "http://s/dash/t/", "http://f/dash/t?x=1", now, 5.0, **more))
+    return check_mpd(
+        build_manifest(asset, floor, top, "http://s/dash/t/", "http://f/dash/t?x=1", now, 5.0, **more)
+    )
 
 
 @given(
@@ -113,14 +115,14 @@
 def test_a_live_timeline_shows_what_can_be_fetched():
     asset = Asset(VIDEOS, 2.0, NOW - 101, timeline=True)
     (s,) = made(asset).iter(f"{NS}S")
-    first, last = segments(asset, NOW)
+    first, last = available_segments(asset, NOW)
     assert (first, last) == (36, 50) and int(s.get("t")) == 70_000 and int(s.get("r")) == 14
-    assert (last - first + 1) * 2.0 <= SHIFT
+    assert (last - first + 1) * 2.0 <= TIME_SHIFT_SECONDS
 
 
 def test_titles_cannot_break_out_of_a_manifest():
     evil = 'x"/><!DOCTYPE a [<!ENTITY b SYSTEM "file:///etc/passwd">]>&b;<Period/>'
-    data = manifest(Asset(VIDEOS, 2.0, None, 9.0), 0, 0, f"http://s/{evil}/", evil, NOW, 5.0)
+    data = build_manifest(Asset(VIDEOS, 2.0, None, 9.0), 0, 0, f"http://s/{evil}/", evil, NOW, 5.0)
     mpd = check_mpd(data)
     assert b"<!" not in data and mpd.find(f"{NS}BaseURL").text == f"http://s/{evil}/"
     assert len(mpd.findall(f"{NS}Period")) == 1
@@ -129,41 +131,43 @@
 @pytest.mark.parametrize("floor, top", [(2, 1), (0, 3), (-1, 0)])
 def test_rungs_that_there_are_not_are_refused(floor, top):
     with pytest.raises(ValueError):
-        manifest(Asset(VIDEOS, 2.0, None, 9.0), floor, top, "b", "l", NOW, 5.0)
+        build_manifest(Asset(VIDEOS, 2.0, None, 9.0), floor, top, "b", "l", NOW, 5.0)
 
 
 # Tokens.
 
 
 def checker(*keys, streamer="s3"):
-    return Checker(streamer, published(list(keys) or [KEY]))
+    return TokenVerifier(streamer, public_jwks(list(keys) or [KEY]))
 
 
 def refused(check, token, now=NOW + 1, title="news"):
-    with pytest.raises(Refusal) as found:
-        check.check(now, token, title)
-    assert found.value.kind in Refusal.KINDS
+    with pytest.raises(TokenError) as found:
+        check.verify(now, token, title)
+    assert found.value.kind in TokenError.KINDS
     return found.value.kind
 
 
 def test_a_token_is_good_for_its_title_at_its_streamer_in_its_time():
     token, check = mint(KEY, GRANT), checker()
-    assert check.check(NOW + 1, token, "news") == GRANT
+    assert check.verify(NOW + 1, token, "news") == GRANT
     assert refused(checker(streamer="s4"), token) == "elsewhere"
     assert refused(check, token, title="sport") == "title"
-    own = Checker("s3", published([KEY]), frozenset(["m"]))
+    own = TokenVerifier("s3", public_jwks([KEY]), frozenset(["m"]))
     assert (
-        own.check(NOW + 1, token, "news") and refused(own, mint(KEY, GRANT._replace(member="n"))) == "member"
+        own.verify(NOW + 1, token, "news") and refused(own, mint(KEY, GRANT._replace(member="n"))) == "member"
+    )
+    assert refused(check, token, NOW - CLOCK_SKEW_SECONDS - 1) == "early"
+    assert check.verify(NOW + 60 + CLOCK_SKEW_SECONDS - 0.1, token, "news"), "clocks may differ by so much"
+    assert refused(check, token, NOW + 60 + CLOCK_SKEW_SECONDS) == "expired"
+    assert refused(check, token, NOW + 61 + CLOCK_SKEW_SECONDS) == "expired", (
+        "also when it was checked before"
     )
-    assert refused(check, token, NOW - SKEW - 1) == "early"
-    assert check.check(NOW + 60 + SKEW - 0.1, token, "news"), "clocks may differ by so much"
-    assert refused(check, token, NOW + 60 + SKEW) == "expired"
-    assert refused(check, token, NOW + 61 + SKEW) == "expired", "also when it was checked before"
 
 
 def test_a_token_never_lasts_longer_than_granted():
     token = mint(KEY, GRANT._replace(begins=NOW + 0.9, ends=NOW + 10.9))
-    assert refused(checker(), token, NOW + 10.9 + SKEW) == "expired"
+    assert refused(checker(), token, NOW + 10.9 + CLOCK_SKEW_SECONDS) == "expired"
 
 
 def sign(header, claims, key=KEY):
@@ -178,17 +182,19 @@
     check, token = checker(), mint(KEY, GRANT)
     head, body, signature = token.split(".")
     claims = json.loads(base64.urlsafe_b64decode(body + "=="))
-    good = {"alg": ALGORITHM, "kid": "k1", "typ": TYPE}
-    assert check.check(NOW, sign(good, claims), "news")
+    good = {"alg": ALGORITHM, "kid": "k1", "typ": TOKEN_TYPE}
+    assert check.verify(NOW, sign(good, claims), "news")
     # RFC 8725, 2.1: "none", and the public key taken for a shared secret.
     assert refused(check, f"{part({**good, 'alg': 'none'})}.{body}.") == "malformed"
     secret = OctKey.import_key(KEY.as_dict(private=False)["x"])
     assert refused(check, sign({**good, "alg": "HS256"}, claims, secret)) == "malformed"
     assert refused(check, sign({**good, "typ": "JWT"}, claims)) == "malformed", "made for something else"
     assert refused(check, sign({**good, "kid": "k9"}, claims)) == "unknown-key"
-    assert refused(check, sign(good, claims, new_key("k1"))) == "forged", "another key under our key's name"
-    embedded = {**good, "jwk": new_key("k1").as_dict(private=False)}
-    forged = jws.serialize_compact(embedded, json.dumps(claims), new_key("k1"), algorithms=[ALGORITHM])
+    assert refused(check, sign(good, claims, generate_key("k1"))) == "forged", (
+        "another key under our key's name"
+    )
+    embedded = {**good, "jwk": generate_key("k1").as_dict(private=False)}
+    forged = jws.serialize_compact(embedded, json.dumps(claims), generate_key("k1"), algorithms=[ALGORITHM])
     assert refused(check, forged) == "forged", "a key that a token brings along is not used"
     for change in (
         {"iss": "x"},
@@ -216,8 +222,8 @@
 
 
 def test_ten_thousand_forged_expired_and_foreign_tokens_are_all_refused():
-    draw, check = random.Random(7), checker(KEY, new_key("k2"))
-    token, stranger = mint(KEY, GRANT), new_key("k1")
+    draw, check = random.Random(7), checker(KEY, generate_key("k2"))
+    token, stranger = mint(KEY, GRANT), generate_key("k1")
     letters = string.ascii_letters + string.digits + "-_."
     kinds = {}
     for number in range(10_000):
@@ -237,7 +243,7 @@
                 else:
                     word = token.rsplit(".", 1)[0] + "." + "".join(draw.choices(letters[:-1], k=86))
             case _:
-                ends = NOW - SKEW - draw.uniform(1, 1000)
+                ends = NOW - CLOCK_SKEW_SECONDS - draw.uniform(1, 1000)
                 changed = (
                     GRANT._replace(begins=ends - 60, ends=ends)
                     if number % 2
@@ -247,21 +253,21 @@
         kind = refused(check, word)
         kinds[kind] = kinds.get(kind, 0) + 1
     assert kinds.keys() >= {"malformed", "forged", "expired", "elsewhere"}
-    assert check.check(NOW + 1, token, "news") == GRANT
+    assert check.verify(NOW + 1, token, "news") == GRANT
 
 
 def test_a_checker_learns_new_keys_and_drops_what_the_old_ones_signed():
-    two = new_key("k2")
+    two = generate_key("k2")
     check = checker()
-    assert check.check(NOW, mint(KEY, GRANT), "news") and refused(check, mint(two, GRANT)) == "unknown-key"
-    check.learn(published([KEY, two]))
-    assert check.check(NOW, mint(two, GRANT), "news")
-    check.learn(published([two]))
+    assert check.verify(NOW, mint(KEY, GRANT), "news") and refused(check, mint(two, GRANT)) == "unknown-key"
+    check.set_keys(public_jwks([KEY, two]))
+    assert check.verify(NOW, mint(two, GRANT), "news")
+    check.set_keys(public_jwks([two]))
     assert refused(check, mint(KEY, GRANT)) == "unknown-key", "also a token that was checked before"
     for bad in ({}, {"keys": 3}, {"keys": [3]}, {"keys": [{"kty": "OKP", "crv": "Ed25519", "kid": "x"}]}):
         with pytest.raises(ValueError):
-            check.learn(bad)
-    assert check.check(NOW, mint(two, GRANT), "news"), "a bad set leaves the old one"
+            check.set_keys(bad)
+    assert check.verify(NOW, mint(two, GRANT), "news"), "a bad set leaves the old one"
 
 
 # The ring.
@@ -270,21 +276,23 @@
 @given(st.floats(30, 2000), st.floats(0.01, 0.9), st.floats(1, 500), st.integers(0, 40), st.randoms())
 def test_through_any_rotation_each_token_finds_its_key_published(rotate, share, longest, steps, draw):
     ahead = rotate * share
-    ring = Ring([], rotate, ahead, longest)
+    ring = KeyRotation([], rotate, ahead, longest)
     now, tokens, made = 0.0, [], 0
     fetched: list[tuple[float, set]] = []
     for _ in range(steps):
-        if ring.due(now):
-            ring.add(Key(f"k{made}", now))
+        if ring.needs_new_key(now):
+            ring.add(SigningKey(f"k{made}", now))
             made += 1
-        ring.dead(now)
-        signing = ring.signing(now)
-        known = {key.kid for key in ring.published(now)}
-        assert signing.kid in known and len([k for k in ring.keys if k.made + ahead > now]) <= 1
+        ring.remove_expired(now)
+        signing = ring.signing_key(now)
+        known = {key.kid for key in ring.published_keys(now)}
+        assert signing.kid in known and len([k for k in ring.keys if k.created_at + ahead > now]) <= 1
         # A streamer that fetched the set within `ahead` knows the key already; only the very first is new.
         if signing.kid != "k0":
-            assert all(signing.kid in kids for at, kids in fetched if at > now - ahead and at >= signing.made)
-        tokens = [(kid, ends) for kid, ends in tokens if now < ends + SKEW]
+            assert all(
+                signing.kid in kids for at, kids in fetched if at > now - ahead and at >= signing.created_at
+            )
+        tokens = [(kid, ends) for kid, ends in tokens if now < ends + CLOCK_SKEW_SECONDS]
         assert all(kid in known for kid, _ in tokens), "a long viewing's token is checked to its end"
         tokens.append((signing.kid, now + longest))
         fetched.append((now, known))
@@ -292,14 +300,14 @@
 
 
 def test_the_first_key_signs_at_once_and_a_new_one_only_when_it_is_known():
-    ring = Ring([Key("a", 0.0)], 100.0, 10.0, 30.0)
-    assert ring.signing(0.0).kid == "a" and not ring.due(99.0) and ring.due(100.0)
-    ring.add(Key("b", 100.0))
-    assert ring.signing(109.0).kid == "a" and {k.kid for k in ring.published(109.0)} == {"a", "b"}
-    assert ring.signing(110.0).kid == "b" and not ring.dead(143.9)
-    assert [k.kid for k in ring.dead(144.0)] == ["a"]
+    ring = KeyRotation([SigningKey("a", 0.0)], 100.0, 10.0, 30.0)
+    assert ring.signing_key(0.0).kid == "a" and not ring.needs_new_key(99.0) and ring.needs_new_key(100.0)
+    ring.add(SigningKey("b", 100.0))
+    assert ring.signing_key(109.0).kid == "a" and {k.kid for k in ring.published_keys(109.0)} == {"a", "b"}
+    assert ring.signing_key(110.0).kid == "b" and not ring.remove_expired(143.9)
+    assert [k.kid for k in ring.remove_expired(144.0)] == ["a"]
     with pytest.raises(ValueError):
-        Ring([], 10.0, 10.0, 1.0)
+        KeyRotation([], 10.0, 10.0, 1.0)
 
 
 # Keys on disk.
@@ -315,7 +323,7 @@
     again = Keys(tmp_path / "keys", 100.0, 10.0, 30.0)
     again.load(NOW + 100)
     assert len(again.pairs) == 2 and len(again.jwks(NOW + 100)["keys"]) == 2
-    assert Checker("s3", again.jwks(NOW + 100)).check(NOW + 1, token, "news") == GRANT
+    assert TokenVerifier("s3", again.jwks(NOW + 100)).verify(NOW + 1, token, "news") == GRANT
     assert "d" not in {name for key in again.jwks(NOW)["keys"] for name in key}
     (path.parent / "torn.key").write_text(f'{{"made": 1, "key": {{"d": "{private}"')
     os.chmod(path.parent / "torn.key", 0o600)
@@ -383,12 +391,22 @@
 
 
 def test_a_player_is_believed_only_with_its_streamers_word_or_silence():
-    d = Doubt()
-    assert not any(d.asked(float(at), 1.0) for at in range(10)), "in time"
-    assert not d.asked(9.1, 1.0) and d.asked(9.2, 1.0) and not d.asked(9.3, 1.0), "not at every request"
-    assert not d.answered(9.3, True)
-    assert not any(d.asked(9.3 + i / 10, 1.0) for i in range(29)), "the streamer has said that all is well"
-    assert d.asked(12.4, 1.0) and d.answered(12.4, False)
-    d = Doubt()
-    asked = [at / 10 for at in range(20) if d.asked(at / 10, 1.0) and d.answered(at / 10, None)]
+    d = EarlyReloadDetector()
+    assert not any(d.manifest_requested(float(at), 1.0) for at in range(10)), "in time"
+    assert (
+        not d.manifest_requested(9.1, 1.0)
+        and d.manifest_requested(9.2, 1.0)
+        and not d.manifest_requested(9.3, 1.0)
+    ), "not at every request"
+    assert not d.streamer_answered(9.3, True)
+    assert not any(d.manifest_requested(9.3 + i / 10, 1.0) for i in range(29)), (
+        "the streamer has said that all is well"
+    )
+    assert d.manifest_requested(12.4, 1.0) and d.streamer_answered(12.4, False)
+    d = EarlyReloadDetector()
+    asked = [
+        at / 10
+        for at in range(20)
+        if d.manifest_requested(at / 10, 1.0) and d.streamer_answered(at / 10, None)
+    ]
     assert asked and asked[0] < 1.0, "twice without an answer"
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -20,9 +20,20 @@
 from herongap.cli import main
 from herongap.daemon.etcd import Feed
 from herongap.daemon.remembered import Remembered
-from herongap.etcd import Change, Directory, Endpoints, Follower, Frames, Item, Membership, Need, Step, Told
+from herongap.etcd import (
+    EndpointSelector,
+    KeyChange,
+    KeyEntry,
+    LeaseRequest,
+    LineSplitter,
+    Membership,
+    MessageOutcome,
+    NextAction,
+    PrefixFollower,
+    Registry,
+)
 from herongap.etcd import messages as m
-from herongap.etcd.keys import Bad, changed_value, read_value, split
+from herongap.etcd.keys import InvalidValueError, decode_value, split_key, update_value
 from herongap.fleet import worlds
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
@@ -32,7 +43,7 @@
 from herongap.standins.etcd import Etcd, History, fill, put
 
 PREFIX = "/herongap/"
-HEAD = m.Header(7, 1, 10)
+HEAD = m.ResponseHeader(7, 1, 10)
 
 
 def kv(key, mod, create=None, value=b"{}"):
@@ -40,7 +51,7 @@
 
 
 def head(revision, cluster=7):
-    return m.Header(cluster, 1, revision)
+    return m.ResponseHeader(cluster, 1, revision)
 
 
 def event(key, mod, kind="PUT", **more):
@@ -48,11 +59,14 @@
 
 
 def following(*kvs, revision=10):
-    f = Follower()
-    assert f.paged(m.Range(head(revision), list(kvs))) is Told.TAKEN
-    turn, start = f.watch_from()
-    assert start == revision + 1 and f.watched(turn, m.Watch(head(revision), created=True)) is Told.TAKEN
-    f.changes()
+    f = PrefixFollower()
+    assert f.handle_page(m.RangeResponse(head(revision), list(kvs))) is MessageOutcome.APPLIED
+    turn, start = f.start_watch()
+    assert (
+        start == revision + 1
+        and f.handle_watch(turn, m.WatchResponse(head(revision), created=True)) is MessageOutcome.APPLIED
+    )
+    f.take_changes()
     return f, turn
 
 
@@ -65,7 +79,7 @@
         b'"events":[{"kv":{"key":"L2E=","create_revision":"5","mod_revision":"42","version":"3","value":"eA=="}},'
         b'{"type":"DELETE","kv":{"key":"L2I=","mod_revision":"42"}}]}}'
     )
-    told = m.read_line(line, m.Watch)
+    told = m.decode_stream_line(line, m.WatchResponse)
     assert told.header.cluster_id == 14841639068965178418 and told.header.revision == 42
     put_, gone = told.events
     assert (put_.kv.key, put_.kv.value, put_.kv.create_revision, put_.type) == (b"/a", b"x", 5, "PUT")
@@ -83,28 +97,28 @@
     ],
 )
 def test_a_refusal_in_a_stream_is_told_with_its_code(line, code):
-    with pytest.raises(m.Refused) as refused:
-        m.read_line(line, m.Watch)
+    with pytest.raises(m.EtcdError) as refused:
+        m.decode_stream_line(line, m.WatchResponse)
     assert refused.value.code == code and refused.value.compacted == (code == 11)
 
 
 @given(st.binary(max_size=300))
 def test_no_bytes_break_the_parsers_in_another_way_than_they_say(data):
     for read in (
-        lambda d: m.read_line(d, m.Watch),
-        lambda d: m.read(d, m.Range),
-        lambda d: m.read(d, m.Lease),
+        lambda d: m.decode_stream_line(d, m.WatchResponse),
+        lambda d: m.decode_reply(d, m.RangeResponse),
+        lambda d: m.decode_reply(d, m.LeaseResponse),
     ):
-        with suppress(m.Garbled, m.Refused):
+        with suppress(m.MalformedReplyError, m.EtcdError):
             read(data)
     for kind in ("streamers", "drains", "controllers"):
-        with suppress(Bad):
-            read_value(kind, data)
+        with suppress(InvalidValueError):
+            decode_value(kind, data)
 
 
 @given(st.lists(st.binary(max_size=20).map(lambda b: b.replace(b"\n", b"")), max_size=8), st.data())
 def test_lines_come_whole_however_the_stream_is_cut(lines, data):
-    stream, frames, got = b"".join(line + b"\n" for line in lines), Frames(), []
+    stream, frames, got = b"".join(line + b"\n" for line in lines), LineSplitter(), []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
         got += frames.feed(stream[:cut])
@@ -113,10 +127,10 @@
 
 
 def test_a_line_without_end_is_refused_not_kept(monkeypatch):
-    monkeypatch.setattr(m, "FRAME", 100)
-    frames = Frames()
+    monkeypatch.setattr(m, "MAX_LINE_BYTES", 100)
+    frames = LineSplitter()
     frames.feed(b"x" * 90)
-    with pytest.raises(m.Garbled):
+    with pytest.raises(m.MalformedReplyError):
         frames.feed(b"x" * 20)
 
 
@@ -125,57 +139,71 @@
 
 def test_a_resync_tells_what_vanished_drained_and_was_replaced_while_away():
     f, turn = following(kv("a", 5), kv("b", 6), kv("c", 7))
-    f.broke(turn)
-    turn, start = f.watch_from()
+    f.stop_watch(turn)
+    turn, start = f.start_watch()
     assert start == 11
-    f.watched(turn, m.Watch(head(30), created=True))
-    assert f.watched(turn, m.Watch(head(30), canceled=True, compact_revision=25)) is Told.COMPACTED
-    assert f.need is Need.READ
-    f.paged(m.Range(head(30), [kv("a", 5), kv("b", 22, create=22), kv("d", 29)]))
-    told = {change.key: change for change in f.changes()}
+    f.handle_watch(turn, m.WatchResponse(head(30), created=True))
+    assert (
+        f.handle_watch(turn, m.WatchResponse(head(30), canceled=True, compact_revision=25))
+        is MessageOutcome.COMPACTED
+    )
+    assert f.next_action is NextAction.READ
+    f.handle_page(m.RangeResponse(head(30), [kv("a", 5), kv("b", 22, create=22), kv("d", 29)]))
+    told = {change.key: change for change in f.take_changes()}
     assert told.keys() == {"b", "c", "d"}
-    assert told["b"].replaced and told["c"].new is None and told["d"].old is None
+    assert told["b"].recreated and told["c"].new is None and told["d"].old is None
 
 
 def test_an_empty_range_of_a_member_that_is_behind_is_not_believed():
     f, turn = following(kv("a", 5))
-    f.watched(turn, m.Watch(head(40)))  # progress: another member has shown 40
-    f.broke(turn)
-    f.need = Need.READ
-    assert f.paged(m.Range(head(39), [])) is Told.BEHIND and "a" in f.items
-    assert f.paged(m.Range(head(40), [])) is Told.TAKEN and not f.items
+    f.handle_watch(turn, m.WatchResponse(head(40)))  # progress: another member has shown 40
+    f.stop_watch(turn)
+    f.next_action = NextAction.READ
+    assert f.handle_page(m.RangeResponse(head(39), [])) is MessageOutcome.MEMBER_BEHIND and "a" in f.items
+    assert f.handle_page(m.RangeResponse(head(40), [])) is MessageOutcome.APPLIED and not f.items
 
 
 def test_fragments_count_when_whole_and_duplicates_never():
     f, turn = following()
-    assert f.watched(turn, m.Watch(head(11), events=[event("a", 11)], fragment=True)) is Told.PART
+    assert (
+        f.handle_watch(turn, m.WatchResponse(head(11), events=[event("a", 11)], fragment=True))
+        is MessageOutcome.PARTIAL
+    )
     assert not f.items and f.revision == 10
-    f.broke(turn)
-    turn, start = f.watch_from()
+    f.stop_watch(turn)
+    turn, start = f.start_watch()
     assert start == 11, "what came in part comes again"
-    f.watched(turn, m.Watch(head(10), created=True))
-    both = m.Watch(head(12), events=[event("a", 11), event("b", 12), event("a", 12, "DELETE")])
-    assert f.watched(turn, both) is Told.TAKEN and f.items.keys() == {"b"} and f.revision == 12
-    assert f.watched(turn, both) is Told.OLD and f.counts["old"] == 3
-    assert f.watched(turn - 1, m.Watch(head(50), events=[event("z", 50)])) is Told.OLD and f.revision == 12
+    f.handle_watch(turn, m.WatchResponse(head(10), created=True))
+    both = m.WatchResponse(head(12), events=[event("a", 11), event("b", 12), event("a", 12, "DELETE")])
+    assert (
+        f.handle_watch(turn, both) is MessageOutcome.APPLIED and f.items.keys() == {"b"} and f.revision == 12
+    )
+    assert f.handle_watch(turn, both) is MessageOutcome.STALE and f.counts["old"] == 3
+    assert (
+        f.handle_watch(turn - 1, m.WatchResponse(head(50), events=[event("z", 50)])) is MessageOutcome.STALE
+        and f.revision == 12
+    )
 
 
 def test_another_clusters_word_is_taken_only_when_every_member_gives_it():
     f, turn = following(kv("a", 5))
-    assert f.watched(turn, m.Watch(head(99, cluster=8), events=[event("a", 99, "DELETE")])) is Told.FOREIGN
+    assert (
+        f.handle_watch(turn, m.WatchResponse(head(99, cluster=8), events=[event("a", 99, "DELETE")]))
+        is MessageOutcome.OTHER_CLUSTER
+    )
     assert "a" in f.items and not f.watching
-    ends = Endpoints(["x:1", "y:1"], 1)
-    said = [ends.foreign(0.0, member, 8) for member in ("x:1", "x:1", "x:1", "y:1", "y:1")]
+    ends = EndpointSelector(["x:1", "y:1"], 1)
+    said = [ends.mark_other_cluster(0.0, member, 8) for member in ("x:1", "x:1", "x:1", "y:1", "y:1")]
     assert said == [False, False, False, False, True]
-    f.adopt(8)
-    f.paged(m.Range(head(3, cluster=8), [kv("a", 2)]))
-    assert f.revision == 3 and not f.changes(), "the same value in a restored cluster is no change"
+    f.switch_cluster(8)
+    f.handle_page(m.RangeResponse(head(3, cluster=8), [kv("a", 2)]))
+    assert f.revision == 3 and not f.take_changes(), "the same value in a restored cluster is no change"
 
 
 def test_progress_without_news_confirms_the_list_and_an_older_one_does_not():
     f, turn = following(kv("a", 5))
-    assert f.watched(turn, m.Watch(head(10))) is Told.TAKEN and f.revision == 10
-    assert f.watched(turn, m.Watch(head(9))) is Told.OLD and f.revision == 10
+    assert f.handle_watch(turn, m.WatchResponse(head(10))) is MessageOutcome.APPLIED and f.revision == 10
+    assert f.handle_watch(turn, m.WatchResponse(head(9))) is MessageOutcome.STALE and f.revision == 10
 
 
 def test_a_fault_of_ours_neither_stops_the_list_nor_loses_a_change():
@@ -194,14 +222,14 @@
 
 
 def test_a_read_in_pages_is_of_one_revision_and_begins_again_when_it_breaks():
-    f = Follower()
-    assert f.paged(m.Range(head(10), [kv("a", 5)], more=True)) is Told.PART
-    assert f.read_from() == ("a", 10)
-    f.unread()
-    assert f.read_from() == ("", 0) and not f.items
-    f.paged(m.Range(head(10), [kv("a", 5)], more=True))
-    assert f.paged(m.Range(head(12), [kv("b", 6)])) is Told.TAKEN
-    assert f.revision == 10 and f.watch_from()[1] == 11, (
+    f = PrefixFollower()
+    assert f.handle_page(m.RangeResponse(head(10), [kv("a", 5)], more=True)) is MessageOutcome.PARTIAL
+    assert f.next_page_start() == ("a", 10)
+    f.abort_read()
+    assert f.next_page_start() == ("", 0) and not f.items
+    f.handle_page(m.RangeResponse(head(10), [kv("a", 5)], more=True))
+    assert f.handle_page(m.RangeResponse(head(12), [kv("b", 6)])) is MessageOutcome.APPLIED
+    assert f.revision == 10 and f.start_watch()[1] == 11, (
         "the second page's member had moved on, the read had not"
     )
 
@@ -238,55 +266,57 @@
 
 
 def change(key, value, old=None, create=1, mod=1):
-    return Change(PREFIX + key, old, value and Item(value, create, mod))
+    return KeyChange(PREFIX + key, old, value and KeyEntry(value, create, mod))
 
 
 def test_bad_values_are_refused_one_by_one_and_the_last_good_one_stays():
-    d = Directory(PREFIX, 0.0)
+    d = Registry(PREFIX, 0.0)
     good = change("streamers/a", streamer(zone="z"))
-    assert d.take(1.0, [good, change("streamers/b", b"{"), change("streamers/c", streamer(url="x"))]) == {"a"}
-    assert set(d.bad) == {PREFIX + "streamers/b", PREFIX + "streamers/c"}
-    worse = Change(good.key, good.new, Item(b"[]", 1, 2))
-    d.take(2.0, [worse])
-    assert d.line("a").zone == "z" and good.key in d.bad
-    d.take(3.0, [Change(good.key, worse.new, Item(streamer(zone="y"), 1, 3))])
-    assert d.line("a").zone == "y" and good.key not in d.bad
-    d.take(4.0, [Change(good.key, None, Item(b"[]", 9, 9))])
-    assert d.line("a").status is StreamerStatus.LEFT, (
+    assert d.apply(1.0, [good, change("streamers/b", b"{"), change("streamers/c", streamer(url="x"))]) == {
+        "a"
+    }
+    assert set(d.bad_values) == {PREFIX + "streamers/b", PREFIX + "streamers/c"}
+    worse = KeyChange(good.key, good.new, KeyEntry(b"[]", 1, 2))
+    d.apply(2.0, [worse])
+    assert d.entry("a").zone == "z" and good.key in d.bad_values
+    d.apply(3.0, [KeyChange(good.key, worse.new, KeyEntry(streamer(zone="y"), 1, 3))])
+    assert d.entry("a").zone == "y" and good.key not in d.bad_values
+    d.apply(4.0, [KeyChange(good.key, None, KeyEntry(b"[]", 9, 9))])
+    assert d.entry("a").status is StreamerStatus.LEFT, (
         "a bad value of a new process says nothing of the old one"
     )
 
 
 def test_a_drain_counts_whatever_its_value_and_outlives_a_new_put():
-    d = Directory(PREFIX, 0.0)
-    d.take(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
-    assert d.line("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in d.bad
-    d.take(2.0, [change("streamers/a", streamer(zone="n"), old=Item(streamer(), 1, 1), mod=2)])
-    assert d.line("a").status is StreamerStatus.LEAVING
-    d.take(3.0, [change("drains/a", None, old=Item(b"garbage", 1, 1))])
-    assert d.line("a").status is StreamerStatus.ACTIVE
+    d = Registry(PREFIX, 0.0)
+    d.apply(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
+    assert d.entry("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in d.bad_values
+    d.apply(2.0, [change("streamers/a", streamer(zone="n"), old=KeyEntry(streamer(), 1, 1), mod=2)])
+    assert d.entry("a").status is StreamerStatus.LEAVING
+    d.apply(3.0, [change("drains/a", None, old=KeyEntry(b"garbage", 1, 1))])
+    assert d.entry("a").status is StreamerStatus.ACTIVE
 
 
 def test_who_came_while_it_was_watched_or_was_replaced_is_cold():
-    d = Directory(PREFIX, 100.0)
-    d.take(
+    d = Registry(PREFIX, 100.0)
+    d.apply(
         5.0, [change("streamers/a", streamer()), change("streamers/b", streamer(started=-40.0))], first=True
     )
-    assert d.line("a").started is None and d.line("b").started == 60.0
-    d.take(6.0, [change("streamers/c", streamer())])
-    assert d.line("c").started == 6.0
-    d.take(7.0, [Change(PREFIX + "streamers/a", Item(streamer(), 1, 1), Item(streamer(), 9, 9))])
-    assert d.line("a").started == 7.0
+    assert d.entry("a").started is None and d.entry("b").started == 60.0
+    d.apply(6.0, [change("streamers/c", streamer())])
+    assert d.entry("c").started == 6.0
+    d.apply(7.0, [KeyChange(PREFIX + "streamers/a", KeyEntry(streamer(), 1, 1), KeyEntry(streamer(), 9, 9))])
+    assert d.entry("a").started == 7.0
 
 
 def test_keys_of_others_are_passed_over_and_unknown_fields_kept():
-    assert split(PREFIX, "/other/streamers/a") is None and split(PREFIX, PREFIX + "colours/a") is None
-    assert split(PREFIX, PREFIX + "streamers/a/b") == ("streamers", "a/b")
-    assert json.loads(changed_value(b'{"v": 1, "rack": "r", "new": [1]}', rack="q")) == {
+    assert split_key(PREFIX, "/other/streamers/a") is None and split_key(PREFIX, PREFIX + "colours/a") is None
+    assert split_key(PREFIX, PREFIX + "streamers/a/b") == ("streamers", "a/b")
+    assert json.loads(update_value(b'{"v": 1, "rack": "r", "new": [1]}', rack="q")) == {
         "v": 1, "rack": "q", "new": [1]
     }  # fmt: skip
-    with pytest.raises(Bad):
-        read_value("streamers", b'{"v": 2, "url": "http://a:1"}')
+    with pytest.raises(InvalidValueError):
+        decode_value("streamers", b'{"v": 2, "url": "http://a:1"}')
 
 
 # Leases.
@@ -294,25 +324,32 @@
 
 def test_a_lease_is_trusted_from_when_it_was_asked_for_and_a_rank_waits():
     c = Membership(3, 9, 6.0)
-    assert c.step(0.0) is Step.GRANT and c.place(0.0, None) == (None, 9)
-    c.granted(0.0, 77, 6.0)
-    assert c.step(4.0) is Step.CLAIM
+    assert c.next_request(0.0) is LeaseRequest.GRANT and c.rank_among(0.0, None) == (None, 9)
+    c.lease_granted(0.0, 77, 6.0)
+    assert c.next_request(4.0) is LeaseRequest.CLAIM
     c.claim_answered(4.5, 4.0, True)
-    assert c.holds(4.5) and c.place(4.5, [3, 1]) == (None, 2), "others may not know of it yet"
-    assert c.place(5.4, [3, 1]) == (None, 2) and not c.holds(5.5)
-    c.kept(5.0, 6.0)
-    assert c.place(6.0, [3, 1, 8]) == (1, 3)
-    assert c.step(20.0) is Step.GRANT and c.place(20.0, [1, 3]) == (None, 2), "paused past its lease"
+    assert c.holds_number(4.5) and c.rank_among(4.5, [3, 1]) == (None, 2), "others may not know of it yet"
+    assert c.rank_among(5.4, [3, 1]) == (None, 2) and not c.holds_number(5.5)
+    c.keepalive_answered(5.0, 6.0)
+    assert c.rank_among(6.0, [3, 1, 8]) == (1, 3)
+    assert c.next_request(20.0) is LeaseRequest.GRANT and c.rank_among(20.0, [1, 3]) == (None, 2), (
+        "paused past its lease"
+    )
 
 
 def test_a_lost_claim_is_tried_again_and_a_dead_lease_given_up():
     c = Membership(0, 2, 6.0)
-    c.granted(0.0, 5, 6.0)
+    c.lease_granted(0.0, 5, 6.0)
     c.claim_answered(0.1, 0.0, False)
-    assert c.taken and not c.holds(0.2) and c.step(0.2) is None and c.step(0.6) is Step.CLAIM
+    assert (
+        c.taken_by_other
+        and not c.holds_number(0.2)
+        and c.next_request(0.2) is None
+        and c.next_request(0.6) is LeaseRequest.CLAIM
+    )
     c.claim_answered(0.7, 0.6, True)
-    c.kept(2.0, 0.0)
-    assert not c.holds(2.1) and c.step(9.0) is Step.GRANT
+    c.keepalive_answered(2.0, 0.0)
+    assert not c.holds_number(2.1) and c.next_request(9.0) is LeaseRequest.GRANT
 
 
 # The whole way.
@@ -331,7 +368,7 @@
 
     def standing(self, name):
         d = self.feed.directory
-        return d.line(name).status if name in d.streamers else None
+        return d.entry(name).status if name in d.streamers else None
 
     def close(self):
         gevent.killall(self.running)
@@ -469,7 +506,11 @@
     (tmp_path / "list" / "data.mdb").write_bytes(b"no store" * 1000)
     store = Remembered(str(tmp_path / "list"))
     assert store.load() is None and (tmp_path / "list.bad-2").exists()
-    assert store.save(1, 2, {"a": Item(b"x", 1, 1)}) and store.load() == (1, 2, {"a": Item(b"x", 1, 1)})
+    assert store.save(1, 2, {"a": KeyEntry(b"x", 1, 1)}) and store.load() == (
+        1,
+        2,
+        {"a": KeyEntry(b"x", 1, 1)},
+    )
     store.close()
 
 
@@ -491,7 +532,7 @@
         one, two = Watcher(etcd), Watcher(etcd)
         until(lambda: any(w.places and w.places[-1][0] == 0 for w in (one, two)))
         gevent.sleep(0.3)
-        held = [w.feed.membership.holds(time.monotonic()) for w in (one, two)]
+        held = [w.feed.membership.holds_number(time.monotonic()) for w in (one, two)]
         assert sorted(held) == [False, True]
         first, second = (one, two) if held[0] else (two, one)
         first.close()
@@ -505,7 +546,7 @@
         until(lambda: w.places and w.places[-1] == (0, 1))
         etcd.members[0].slow = 2.6  # longer than the lease: the answer says that it is gone
         until(lambda: w.places[-1][0] is None)
-        assert not w.feed.membership.holds(time.monotonic())
+        assert not w.feed.membership.holds_number(time.monotonic())
         assert any(b"controllers" in key for key in etcd.history.now_at), "given up here before it ends there"
         until(lambda: not any(b"controllers" in key for key in etcd.history.now_at))
         etcd.members[0].slow = 0.0
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -13,9 +13,9 @@
 from herongap.daemon.wire import Call
 from herongap.host import replay
 from herongap.host.viewing import ViewingState
-from herongap.http import kind_of
+from herongap.http import problem_kind
 from herongap.ini import read_site
-from herongap.sdp import offer
+from herongap.sdp import create_offer
 
 
 @pytest.fixture
@@ -53,10 +53,10 @@
     tried = v.post(2)
     assert tried.status == 201 and v.location.startswith("/sessions/") and w.playing() == 1
     assert v.trickle().status == 204
-    assert v.trickle('"old"').status == 412 and kind_of(v.trickle('"old"').body) == "stale-tag"
+    assert v.trickle('"old"').status == 412 and problem_kind(v.trickle('"old"').body) == "stale-tag"
     assert v.restart_ice().status == 200 and v.trickle().status == 204
     assert (
-        kind_of(v.call("PATCH", [("Content-Type", "application/trickle-ice-sdpfrag")], b"x").body)
+        problem_kind(v.call("PATCH", [("Content-Type", "application/trickle-ice-sdpfrag")], b"x").body)
         == "tag-needed"
     )
     assert v.call("PATCH", [("Content-Type", "text/plain"), ("If-Match", "*")], b"x").status == 415
@@ -301,7 +301,7 @@
         v.offer.replace("recvonly", "sendonly").encode(),
     ):
         reply = v.call("POST", [("Content-Type", "application/sdp")], body, "/whep/1")
-        assert reply.status == 400 and kind_of(reply.body) == "bad-sdp", body
+        assert reply.status == 400 and problem_kind(reply.body) == "bad-sdp", body
     assert v.call("POST", [("Content-Type", "text/html")], b"x", "/whep/1").status == 415
     for _ in range(8):
         try:
@@ -393,4 +393,4 @@
     from herongap.sdp import Endpoint, read_offer
 
     me = Endpoint("abcd", "p" * 24, "AA:BB", "127.0.0.1", 9, 77)
-    assert read_offer(offer(me, "recvonly").encode(), "recvonly").identity[1] == "abcd"
+    assert read_offer(create_offer(me, "recvonly").encode(), "recvonly").identity[1] == "abcd"
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -11,23 +11,23 @@
 from herongap.http import (
     Reply,
     Request,
-    bearer,
-    kind_of,
+    bearer_token,
+    etag_matches,
     link,
+    preferred_wait,
     problem,
+    problem_kind,
     read_links,
-    tag_matches,
-    wait_preferred,
 )
 from herongap.interface import LoadReport
 from herongap.orca import read_load, write_load
-from herongap.sdp import BadSdp, Endpoint, answer, offer, read_fragment, read_offer
+from herongap.sdp import Endpoint, SdpError, create_answer, create_offer, read_fragment, read_offer
 from herongap.sdp.fragment import Fragment, write_fragment
 from herongap.whep import EventReader, read_layer, write_event, write_layer
-from herongap.whip import Resource
+from herongap.whip import SessionResource
 
 ME = Endpoint("abcd", "p" * 24, ":".join(["AB"] * 32), "127.0.0.1", 5000, 4711)
-OFFER = offer(ME, "recvonly")
+OFFER = create_offer(ME, "recvonly")
 
 
 def test_an_independent_webrtc_stack_takes_offers_and_answers_of_both_ends():
@@ -39,7 +39,7 @@
         theirs.addTransceiver("audio", direction="recvonly")
         await theirs.setLocalDescription(await theirs.createOffer())
         offered = read_offer(theirs.localDescription.sdp.encode(), "recvonly")
-        await theirs.setRemoteDescription(aiortc.RTCSessionDescription(answer(offered, ME), "answer"))
+        await theirs.setRemoteDescription(aiortc.RTCSessionDescription(create_answer(offered, ME), "answer"))
         states = [theirs.signalingState]
         await theirs.close()
         far = aiortc.RTCPeerConnection()
@@ -55,7 +55,7 @@
 def test_identity_is_the_same_for_copies_and_differs_between_offers():
     first = read_offer(OFFER.encode(), "recvonly").identity
     assert first == read_offer(OFFER.replace("candidate:1 1", "candidate:2 1").encode(), "recvonly").identity
-    other = offer(ME._replace(ufrag="efgh"), "recvonly")
+    other = create_offer(ME._replace(ufrag="efgh"), "recvonly")
     assert first != read_offer(other.encode(), "recvonly").identity
 
 
@@ -74,7 +74,7 @@
     ],
 )
 def test_a_bad_offer_is_refused_with_its_reason(change, says):
-    with pytest.raises(BadSdp, match=says):
+    with pytest.raises(SdpError, match=says):
         read_offer(OFFER.replace(*change).encode(), "recvonly")
 
 
@@ -83,7 +83,7 @@
 def test_no_bytes_make_the_readers_fail_otherwise(noise, at):
     for body in (noise, OFFER[:at].encode() + noise + OFFER[at:].encode()):
         for read in (lambda b: read_offer(b, "recvonly"), read_fragment):
-            with contextlib.suppress(BadSdp):
+            with contextlib.suppress(SdpError):
                 read(body)
     with contextlib.suppress(ValueError):
         read_layer(noise, 3)
@@ -130,8 +130,8 @@
 
 
 def test_ice_sessions_and_their_tags():
-    resource = Resource("x", "abcd", ME)
-    old = resource.tag
+    resource = SessionResource("x", "abcd", ME)
+    old = resource.etag
     mine = write_fragment(Fragment("abcd", "p" * 24, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False))
     assert resource.patch(patch(mine, old), ME).status == 204 and len(resource.candidates) == 1
     assert resource.patch(patch(mine, '"other"'), ME).status == 412
@@ -140,9 +140,9 @@
     assert resource.patch(patch(mine, "*"), ME).status == 400, "a restart needs new credentials"
     again = write_fragment(Fragment("wxyz", "q" * 24, (), False))
     restarted = resource.patch(patch(again, "*"), ME._replace(ufrag="newu"))
-    assert restarted.status == 200 and b"newu" in restarted.body and resource.tag != old
+    assert restarted.status == 200 and b"newu" in restarted.body and resource.etag != old
     assert resource.patch(patch(mine, old), ME).status == 412, "the old ICE session's fragments are stale"
-    assert resource.patch(patch(again, resource.tag), ME).status == 204
+    assert resource.patch(patch(again, resource.etag), ME).status == 204
 
 
 def test_headers():
@@ -150,13 +150,20 @@
         "authorization": "Bearer abc", "if-match": '"a", "b"', "prefer": "respond-async, wait=2.5",
     })  # fmt: skip
     assert request.path == ["whep", "a/b"] and request.query == {"top": "2"}
-    assert bearer(request) == "abc" and bearer(Request("GET", "/", {"authorization": "Basic x"})) is None
-    assert tag_matches(request, '"b"') and not tag_matches(request, '"c"') and wait_preferred(request) == 2.5
+    assert (
+        bearer_token(request) == "abc"
+        and bearer_token(Request("GET", "/", {"authorization": "Basic x"})) is None
+    )
+    assert (
+        etag_matches(request, '"b"') and not etag_matches(request, '"c"') and preferred_wait(request) == 2.5
+    )
     (found,) = read_links(link("/e?a=1,2", "x:y", events="a,b")[1])
     assert (found.url, found.rel, found.params) == ("/e?a=1,2", "x:y", {"events": "a,b"})
     told = problem("blocked", "full", come_back=0.5)
     assert (
-        told.status == 503 and kind_of(told.body) == "blocked" and json.loads(told.body)["come_back"] == 0.5
+        told.status == 503
+        and problem_kind(told.body) == "blocked"
+        and json.loads(told.body)["come_back"] == 0.5
     )
-    assert kind_of(b"[]") == kind_of(b"\xff") == "" and Reply(200).header("x") is None
+    assert problem_kind(b"[]") == problem_kind(b"\xff") == "" and Reply(200).header("x") is None
     assert read_layer(write_layer(2), 3) == 2
