--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -19,9 +19,9 @@
 import numpy as np
 
 from herongap import observe
+from herongap.daemon.http_connection import ConnectionPool, Server
 from herongap.daemon.listen import listen
 from herongap.daemon.run import Daemon
-from herongap.daemon.wire import Pool, Server
 from herongap.dash import Checker, Grant, mint, new_key, published
 from herongap.http import Reply
 from herongap.ini import read_site
@@ -90,7 +90,7 @@
     p = b.player("p")
     p.join()
     bare = Server(listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), Bounds())
-    pools = [Pool(b.daemon.address, 1.0), Pool(bare.address, 1.0)]
+    pools = [ConnectionPool(b.daemon.address, 1.0), ConnectionPool(bare.address, 1.0)]
     ratios, key = [], new_key("k")
     for _ in range(5):
         mine = paced(lambda: pools[0].call("GET", p.location, (), b"", 2.0), 1.0)
@@ -143,7 +143,7 @@
 
 def rotation(near: Path, seconds: float = 20.0) -> None:
     b = Bench(near, token=3.0, rotate=2.0, ahead=1.0)
-    dash = b.daemon.front.dash
+    dash = b.daemon.handler.dash
     dash._renew = dash.load
     players = [b.player(f"p{i}") for i in range(40)]
     for p in players:
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -25,7 +25,7 @@
 from minicheck import check_liveness, check_safety
 
 from herongap import observe
-from herongap.daemon.etcd import Feed
+from herongap.daemon.etcd import StreamerRegistry
 from herongap.daemon.run import Daemon
 from herongap.fleet import worlds
 from herongap.ini import read_site
@@ -57,12 +57,14 @@
     print(json.dumps(figures), flush=True)
 
 
-def feeds(etcd: Etcd, count: int, **terms) -> list[Feed]:
+def feeds(etcd: Etcd, count: int, **terms) -> list[StreamerRegistry]:
     made = []
     for number in range(count):
         t = Terms(endpoints=",".join(etcd.addresses), **terms)
         name = f"herongap-{number}-1"
-        feed = Feed(t, number, count, number, name, time.monotonic, lambda *_: None, lambda *_: None)
+        feed = StreamerRegistry(
+            t, number, count, number, name, time.monotonic, lambda *_: None, lambda *_: None
+        )
         feed.running = feed.start()
         made.append(feed)
     return made
@@ -84,7 +86,7 @@
         (near / "front.ini").write_text(INI.format(endpoints=", ".join(etcd.addresses)))
         daemon = Daemon(read_site(near / "front.ini"))
         daemon.start()
-        wait(lambda: daemon.feed.state == "following")
+        wait(lambda: daemon.registry.state == "following")
 
         def live(number: int) -> None:
             viewer = Viewer(f"v{number}", daemon.address, "/whep/1", lambda *a, **k: None, number)
@@ -150,7 +152,7 @@
                 since.pop(name, None)
         elif d["drained"] and name in standing:
             since.setdefault(name, at)
-    counts = daemon.feed.follower.counts
+    counts = daemon.registry.follower.counts
     told(drains=count, forced_disconnects=cuts, tune_ins=posts, later_than_grace=late,
          within_grace=len(after), latest_ms=round(1000 * max(after, default=0.0), 1),
          before_it_could_be_known=unknown, watches=counts["watches"], compacted=counts["compacted"],
@@ -162,7 +164,9 @@
     """One change at a time, 200 a second."""
     etcd, seen = Etcd(3, time.monotonic), {}
     (feed,) = feeds(etcd, 1)
-    feed.listed = lambda kind, lines, _: [seen.setdefault(line.streamer, time.monotonic()) for line in lines]
+    feed.on_list_change = lambda kind, lines, _: [
+        seen.setdefault(line.streamer, time.monotonic()) for line in lines
+    ]
     wait(lambda: feed.state == "following")
     sent = {}
     for i in range(count):
@@ -229,7 +233,7 @@
 
 def follow(address: str, seconds: float) -> int:
     """The process of `flood`."""
-    feed = Feed(Terms(endpoints=address), 0, 1, 1, "herongap-0-1", time.monotonic,
+    feed = StreamerRegistry(Terms(endpoints=address), 0, 1, 1, "herongap-0-1", time.monotonic,
                 lambda *_: None, lambda *_: None)  # fmt: skip
     feed.start()
     wait(lambda: feed.state == "following")
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -10,9 +10,9 @@
 import h11
 from gevent.event import Event
 
+from herongap.daemon.http_connection import ClientConnection, ConnectionPool, Server
 from herongap.daemon.listen import listen
-from herongap.daemon.session import read_remote
-from herongap.daemon.wire import Call, Pool, Server
+from herongap.daemon.session import read_remote_session
 from herongap.http import SDP, Reply, problem
 from herongap.ini import read_list, read_site
 from herongap.whip import check_offer, created
@@ -21,7 +21,7 @@
 def main(file: str) -> None:
     site = read_site(Path(file))
     _, addresses = read_list(Path(site.streamers.list).read_bytes(), 0.0)
-    pools = {address: Pool(address, 1.0) for address in addresses.values()}
+    pools = {address: ConnectionPool(address, 1.0) for address in addresses.values()}
     turn, numbers, sessions = itertools.cycle(pools), itertools.count(1), {}
 
     def handle(request, peer) -> Reply:
@@ -32,13 +32,13 @@
                 if isinstance(offer, Reply):
                     return offer
                 address, target = next(turn), f"/whep/{path[1]}?layer=0"
-                call = Call(address, 1.0)
+                call = ClientConnection(address, 1.0)
                 call.send("POST", target, [("Content-Type", SDP)], request.body)
                 reply = call.receive(5.0)
                 pools[address].keep(call)
                 if reply.status != 201:
                     return problem("aborted")
-                remote, name = read_remote("s", target, reply), str(next(numbers))
+                remote, name = read_remote_session("s", target, reply), str(next(numbers))
                 sessions[name] = address, remote
                 return created(f"/sessions/{name}", remote.tag, remote.answer)
             address, remote = sessions[path[1]]
--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -30,23 +30,23 @@
     """The etcd of a front's file, asked member after member."""
 
     def __init__(self, file: Path):
-        from herongap.daemon.etcd import Client
+        from herongap.daemon.etcd import EtcdClient
 
         self.site = load(file)
         self.terms = self.site.etcd
         if self.terms is None:
             raise click.ClickException(f"{file}: no section [etcd]; its list is a file")
-        self.client = Client(self.terms, "herongap-list")
+        self.client = EtcdClient(self.terms, "herongap-list")
 
     def call(self, path: str, body: bytes, kind: type):
-        from herongap.daemon.etcd import NETWORK
+        from herongap.daemon.etcd import NETWORK_ERRORS
         from herongap.etcd import Refused
 
         faults = []
         for address in self.terms.endpoints:
             try:
                 return self.client.call(address, path, body, kind)
-            except NETWORK as fault:
+            except NETWORK_ERRORS as fault:
                 if isinstance(fault, Refused):
                     raise click.ClickException(f"{address}: {fault}") from fault
                 faults.append(f"{address}: {fault!r}")
@@ -99,13 +99,13 @@
 
 
 def _known(address: str) -> dict:
-    from herongap.daemon.etcd import NETWORK
+    from herongap.daemon.etcd import NETWORK_ERRORS
+    from herongap.daemon.http_connection import request_once
     from herongap.daemon.listen import read_address
-    from herongap.daemon.wire import call_once
 
     try:
-        return json.loads(call_once(read_address(address), "GET", "/list", time_out=3.0).body)
-    except (*NETWORK, ValueError) as fault:
+        return json.loads(request_once(read_address(address), "GET", "/list", time_out=3.0).body)
+    except (*NETWORK_ERRORS, ValueError) as fault:
         click.echo(f"the controller at {address} does not answer: {fault!r}", err=True)
         sys.exit(2)
 
@@ -152,7 +152,7 @@
     """Tell every change of the list as it comes, with its revision."""
     import gevent
 
-    from herongap.daemon.etcd import Feed
+    from herongap.daemon.etcd import StreamerRegistry
 
     terms = Store(file).terms.model_copy(update={"remembered": ""})
 
@@ -166,7 +166,7 @@
                 click.echo(f"{revision:>10} {kind:8} {line.streamer:20} {standing}")
             sys.stdout.flush()
 
-    feed = Feed(terms, 0, 1, 1, "herongap-list", time.monotonic, listed, lambda *place: None)
+    feed = StreamerRegistry(terms, 0, 1, 1, "herongap-list", time.monotonic, listed, lambda *place: None)
     following = gevent.spawn(feed.follow)
     try:
         following.join(timeout=seconds)
--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -8,7 +8,7 @@
 
 from herongap import observe
 from herongap.cli.refused import refused
-from herongap.daemon.run import Daemon, until_signal
+from herongap.daemon.run import Daemon, run_until_signal
 from herongap.ini import Faults, Site, read_catalogue, read_list, read_site
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -36,7 +36,7 @@
         daemon.start()
     except (OSError, ValueError) as fault:
         raise refused(fault, "cannot start: ") from fault
-    until_signal(daemon)
+    run_until_signal(daemon)
 
 
 @click.command()
@@ -137,5 +137,5 @@
             raise refused(fault, "cannot start: ") from fault
         for st in all_of_them:
             st.segments.fronts = [daemon.address]
-        until_signal(daemon)
+        run_until_signal(daemon)
         farm.close()
--- a/herongap/cli/token.py
+++ b/herongap/cli/token.py
@@ -29,10 +29,10 @@
 
 
 def _load(folder: Path, rotate: float, ahead: float, longest: float):
-    from herongap.daemon.keys import Keys
+    from herongap.daemon.keys import KeyStore
 
     try:
-        keys = Keys(folder, rotate, ahead, longest)
+        keys = KeyStore(folder, rotate, ahead, longest)
         keys.load(time.time())
     except (OSError, ValueError) as fault:
         raise refused(fault) from fault
--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -15,7 +15,7 @@
 log = structlog.get_logger()
 
 
-def terms(name: str, whole: WholeTerms) -> Terms:
+def budget_terms(name: str, whole: WholeTerms) -> Terms:
     """A budget as its section of the file states it."""
     w = whole
     keep = w.without_store == "keep"
@@ -39,7 +39,7 @@
         self.tally = Tally(self.shares)
         self.keys = {name: f"{prefix}budgets/{name}" for name in self.shares}
         self.nudge = Event()
-        self.unknown = 0  # commits without an answer so far
+        self.unknown_outcomes = 0  # commits without an answer so far
 
     def heard(self, revision: int, items: Mapping[str, Item]) -> None:
         """The list has got to a revision: each document as it is there."""
@@ -94,7 +94,7 @@
         self.nudge.set()
 
     @property
-    def left(self) -> bool:
+    def released(self) -> bool:
         """Whether nothing here is ours any more."""
         return all(s.division is None or s.me not in s.division.parts for s in self.shares.values())
 
@@ -119,7 +119,7 @@
         try:
             reply = self.swap(m.swap_body(self.keys[name], commit.base, commit.data))
         except self.faults as fault:
-            self.unknown += 1
+            self.unknown_outcomes += 1
             # Once for each commit: the same word a hundred times a second hides the others on the page.
             told = log.debug if shares.ledger.doubt else log.warning
             told("budget: outcome unknown, sent again", budget=name, cause=repr(fault))
@@ -130,7 +130,7 @@
         shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
         self.nudge.set()
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """Where each budget stands here, for operators."""
         now, told = self.clock(), {}
         for name, s in self.shares.items():
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -15,10 +15,10 @@
 
 import structlog
 
-from herongap.daemon.door import Door, Wish
-from herongap.daemon.keys import Keys
+from herongap.daemon.http_connection import Peer
+from herongap.daemon.keys import KeyStore
 from herongap.daemon.session import Session
-from herongap.daemon.wire import Peer
+from herongap.daemon.session_service import SessionRequest, SessionService
 from herongap.dash import MPD, Asset, Doubt, Grant, Video, manifest, read_cmcd
 from herongap.host import ViewingState
 from herongap.http import Reply, Request, problem
@@ -51,12 +51,12 @@
     doubt: Doubt = field(default_factory=Doubt)
 
 
-class Dash:
+class DashService:
     """Serves /dash/TITLE, /manifests/SECRET and the key set."""
 
-    def __init__(self, terms: DashPart, door: Door, wall: Callable[[], float] = time.time):
+    def __init__(self, terms: DashPart, door: SessionService, wall: Callable[[], float] = time.time):
         self.terms, self.door, self.wall = terms, door, wall
-        self.keys = Keys(terms.keys, terms.rotate, terms.ahead, terms.token)
+        self.keys = KeyStore(terms.keys, terms.rotate, terms.ahead, terms.token)
         self.lines: OrderedDict[str, Line] = OrderedDict()
         self.by_key: dict[tuple, Line] = {}
         self._loaded = 0.0
@@ -71,7 +71,7 @@
     def handle(self, path: list[str], request: Request, peer: Peer) -> Reply | None:
         """A request of this front's, None for any other."""
         if path == [".well-known", "jwks.json"] and request.method in ("GET", "HEAD"):
-            self._renew()
+            self._reload_keys_if_due()
             kept = ("Cache-Control", f"max-age={int(self.terms.ahead / 4)}")
             keys = json.dumps(self.keys.jwks(self.wall())).encode()
             return Reply(200, (("Content-Type", JSON), kept), keys)
@@ -178,17 +178,17 @@
         life = self.door.host.viewings.get(session.viewing)
         return life if life and life.state is ViewingState.PLAYING else None
 
-    def _wish(self, line: Line, turn: int) -> Wish:
+    def _wish(self, line: Line, turn: int) -> SessionRequest:
         site, package = self.door.site, self.door.packages[line.package]
         # What joins the streamers' logs to the player's; each viewing of a line has its own.
         body = {"identity": f"{line.key[-1]}/{turn}", "floor": package.floor, "top": package.top}
-        return Wish(
+        return SessionRequest(
             "dash", line.title, line.package, line.owner, line.holders, ("line", line.secret, turn), "",
             line.secret, JSON, json.dumps(body).encode(), site.patience[line.package], line.top,
         )  # fmt: skip
 
     def _write(self, line: Line, session: Session, life, request: Request) -> Reply:
-        self._renew()
+        self._reload_keys_if_due()
         now, package = self.wall(), self.door.packages[line.package]
         streamer, member = str(life.streamer), self.door.site.tokens[line.owner].member if line.owner else ""
         # The rung that the module allows now is the token's top: a raise comes with the next manifest.
@@ -218,7 +218,7 @@
     def _reported(self, request: Request) -> dict:
         return read_cmcd(request.query.get("CMCD"), request.headers)
 
-    def _renew(self) -> None:
+    def _reload_keys_if_due(self) -> None:
         if self.door.clock() - self._loaded < RELOAD:
             return
         try:
--- a/herongap/daemon/errors.py
+++ b/herongap/daemon/errors.py
@@ -3,7 +3,7 @@
 from herongap.errors import HerongapError
 
 
-class Hung(HerongapError):
+class PeerDisconnectedError(HerongapError):
     """The peer hung up, or was too slow; nothing can be said to it."""
 
     advice = "see the peer and the way there"
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -9,10 +9,10 @@
 
 from herongap.accord import Terms
 from herongap.daemon.budgets import Budgets
-from herongap.daemon.feed import epoch
+from herongap.daemon.file_watcher import epoch_on_clock
+from herongap.daemon.http_connection import ClientConnection, ConnectionPool, PeerDisconnectedError
+from herongap.daemon.list_cache import ListCache
 from herongap.daemon.listen import read_address
-from herongap.daemon.remembered import Remembered
-from herongap.daemon.wire import Call, Hung, Pool
 from herongap.etcd import Directory, Endpoints, Follower, Frames, Membership, Need, Refused, Step, Told
 from herongap.etcd import messages as m
 from herongap.etcd.keys import changed_value
@@ -20,16 +20,16 @@
 
 DOUBT = 0.1  # seconds between two looks at whether the lease still holds; MARGIN covers it
 PAGE = 1000  # keys of one page of a read
-NETWORK = (OSError, Hung, h11.RemoteProtocolError, Refused, m.Garbled)
+NETWORK_ERRORS = (OSError, PeerDisconnectedError, h11.RemoteProtocolError, Refused, m.Garbled)
 log = structlog.get_logger()
 
 
-class Client:
+class EtcdClient:
     """Unary calls to one cluster, with its token where it asks for one."""
 
     def __init__(self, terms: Etcd, name: str):
         self.terms, self.name, self.token = terms, name, ""
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, ConnectionPool] = {}
 
     def headers(self, address: str) -> list[tuple[str, str]]:
         """The headers of any request, with a token made there if one is needed and missing."""
@@ -54,7 +54,7 @@
     def _call(self, address: str, path: str, body: bytes, kind: type, headers: list[tuple[str, str]]):
         pool = self.pools.get(address)
         if pool is None:
-            pool = self.pools[address] = Pool(read_address(address), self.terms.connect)
+            pool = self.pools[address] = ConnectionPool(read_address(address), self.terms.connect)
         reply = pool.call("POST", path, headers, body, self.terms.time_out)
         if reply.status != 200:
             raise m.refusal(reply.body)
@@ -72,7 +72,7 @@
             pool.close()
 
 
-class Feed:
+class StreamerRegistry:
     """The list of streamers over etcd, for one controller.
 
     `listed(kind, lines, addresses)` is told of every change, `counted(rank, count)` of every change of this
@@ -83,23 +83,23 @@
                  listed: Callable, counted: Callable, budgets: tuple[Terms, ...] = (),
                  given: Callable = lambda name, room: None):  # fmt: skip
         self.terms, self.name, self.clock = terms, name, clock
-        self.listed, self.counted = listed, counted
-        self.client = Client(terms, name)
+        self.on_list_change, self.on_rank_change = listed, counted
+        self.client = EtcdClient(terms, name)
         self.endpoints = Endpoints(terms.endpoints, seed)
         # A member that is cut off from its peers still shows what it had, and takes nothing.
         self.takers = Endpoints(terms.endpoints, seed)
         self.follower = Follower()
-        self.directory = Directory(terms.prefix, epoch(clock))
+        self.directory = Directory(terms.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, terms.ttl)
         self.key = f"{terms.prefix}controllers/{number}"
         self.life, self.failing = -1, False  # the revision of our claim; whether a renewal has failed
-        carries = self._swap, NETWORK, self._claims, given
+        carries = self._swap, NETWORK_ERRORS, self._claims, given
         self.budgets = budgets and Budgets(budgets, terms.prefix, number, terms.ttl, seed, clock, *carries)
-        self.store = Remembered(terms.remembered) if terms.remembered else None
+        self.store = ListCache(terms.remembered) if terms.remembered else None
         self.known_at: float | None = None  # when the list was last known to be whole
         self.from_store, self.place = False, None
         self._owed = False
-        self._stream: Call | None = None
+        self._stream: ClientConnection | None = None
         self._stored = 0
 
     @property
@@ -111,7 +111,7 @@
             return "remembered" if self.from_store else "starting"
         return "reading" if self.follower.need is Need.READ else "lost"
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """Where the list stands, for operators."""
         f, now = self.follower, self.clock()
         age = None if self.known_at is None else round(now - self.known_at, 3)
@@ -122,7 +122,7 @@
             "drains": sorted(self.directory.drains),
             "controllers": controllers, "number": self.membership.number,
             "holds_number": self.membership.holds(now), "place": self.place and list(self.place),
-            "budgets": self.budgets.told() if self.budgets else {},
+            "budgets": self.budgets.status() if self.budgets else {},
         }  # fmt: skip
 
     def start(self) -> list:
@@ -148,7 +148,7 @@
                     self._read(address)
                 else:
                     self._watch(address)
-            except NETWORK as fault:
+            except NETWORK_ERRORS as fault:
                 self.endpoints.failed(address)
                 if isinstance(fault, Refused) and fault.code == m.UNAUTHENTICATED:
                     self.client.forget_token()
@@ -167,7 +167,7 @@
             body = m.range_body(first, m.end_of(self.terms.prefix), revision, PAGE)
             try:
                 reply = self.client.call(address, "/v3/kv/range", body, m.Range)
-            except NETWORK:
+            except NETWORK_ERRORS:
                 self.follower.unread()
                 raise
             told = self.follower.paged(reply)
@@ -183,7 +183,7 @@
     def _watch(self, address: str) -> None:
         turn, start = self.follower.watch_from()
         headers = self.client.headers(address)
-        call = self._stream = Call(read_address(address), self.terms.connect)
+        call = self._stream = ClientConnection(read_address(address), self.terms.connect)
         frames = Frames()
         try:
             call.send("POST", "/v3/watch", headers, m.watch_body(self.terms.prefix, start))
@@ -256,7 +256,7 @@
         lines = self.directory.lines(touched) if kind == "changes" else self.directory.whole()
         if touched or kind != "changes":
             # Addresses of what has changed alone: a list of thousands changes a thousand times a second.
-            self.listed(kind, lines, self.directory.addresses(line.streamer for line in lines))
+            self.on_list_change(kind, lines, self.directory.addresses(line.streamer for line in lines))
         self._owed = False
         self._reckon()
 
@@ -270,7 +270,7 @@
             if step:
                 try:
                     self._ask(step, now)
-                except NETWORK as fault:
+                except NETWORK_ERRORS as fault:
                     self.membership.failed(self.clock())
                     self.failing = True
                     log.warning("lease not kept", step=step.value, cause=repr(fault))
@@ -313,7 +313,7 @@
         address = self.takers.choose(self.clock())
         try:
             reply = self.client.call(address, path, body, kind)
-        except NETWORK:
+        except NETWORK_ERRORS:
             self.takers.failed(address)
             raise
         self.takers.fine(address)
@@ -346,7 +346,7 @@
         place = self.membership.place(self.clock(), live)
         if place != self.place:
             self.place = place
-            self.counted(*place)
+            self.on_rank_change(*place)
 
     # The store.
 
@@ -370,7 +370,7 @@
                 body = m.lease_body(self.membership.lease)
                 with gevent.Timeout(0.5, OSError("too slow")):
                     self._take("/v3/lease/revoke", body, m.Lease)
-            except NETWORK as fault:
+            except NETWORK_ERRORS as fault:
                 log.info("lease left to run out", cause=repr(fault))
         if self.store:
             self._save()
--- a/herongap/daemon/feed.py
+++ b/herongap/daemon/file_watcher.py
@@ -10,7 +10,7 @@
 log = structlog.get_logger()
 
 
-class Watched:
+class FileWatcher:
     """Calls `changed` with a file's bytes at once and whenever it is another; a bad file leaves the last
     good one.
     """
@@ -38,6 +38,6 @@
                 log.error("file not taken, the last good one stays", path=self.path, cause=str(fault))
 
 
-def epoch(clock: Callable[[], float]) -> float:
+def epoch_on_clock(clock: Callable[[], float]) -> float:
     """The host's clock at the zero of the wall clock's epoch."""
     return clock() - time.time()
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -15,7 +15,7 @@
 READ = 65536
 
 
-class Whispers:
+class GossipMember:
     """One controller's membership on its socket. `life` tells one process under a number from the next.
 
     `changed()` is called when somebody came, or is gone.
@@ -78,7 +78,7 @@
         self.before = now
         self.changed()
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """Who lives, for operators."""
         g, now = self.gossip, self.clock()
         members = {
--- a/herongap/daemon/wire.py
+++ b/herongap/daemon/http_connection.py
@@ -16,7 +16,7 @@
 from gevent.event import Event
 from gevent.hub import get_hub
 
-from herongap.daemon.errors import Hung
+from herongap.daemon.errors import PeerDisconnectedError
 from herongap.daemon.listen import Address
 from herongap.http import Reply, Request, problem
 from herongap.intake import Bounds
@@ -66,7 +66,7 @@
     try:
         while _serve_one(sock, conn, peer, handle, bounds):
             conn.start_next_cycle()
-    except (Hung, OSError, h11.LocalProtocolError):
+    except (PeerDisconnectedError, OSError, h11.LocalProtocolError):
         pass
     finally:
         with suppress(OSError):
@@ -90,7 +90,7 @@
         return False
     try:
         reply = handle(request, peer)
-    except Hung:
+    except PeerDisconnectedError:
         raise
     except Exception as fault:
         get_hub().handle_error(gevent.getcurrent(), *_exc(fault))
@@ -167,7 +167,7 @@
     try:
         sock.sendall(data)
     except TimeoutError as slow:
-        raise Hung("slow reader") from slow
+        raise PeerDisconnectedError("slow reader") from slow
 
 
 def _send(sock, conn, reply: Reply, method: str, bounds, close: bool) -> None:
@@ -208,7 +208,7 @@
                 break
 
 
-class Call:
+class ClientConnection:
     """One request to a streamer on a connection of its own or an idle one."""
 
     def __init__(self, address: Address, connect: float):
@@ -230,7 +230,7 @@
         self.sock.sendall(out + self.conn.send(h11.EndOfMessage()))
 
     def receive(self, time_out: float, most: int = 1 << 20) -> Reply:
-        """The whole reply; raises OSError (TimeoutError, Hung at a break) or h11.RemoteProtocolError."""
+        """The whole reply; raises OSError (TimeoutError, ConnectionResetError) or h11.RemoteProtocolError."""
         deadline = time.monotonic() + time_out
         head, chunks = self.head(deadline), []
         while (chunk := self._data(deadline)) is not None:
@@ -291,10 +291,10 @@
             self.sock.close()
 
 
-def call_once(address: Address, method: str, target: str, headers=(), body: bytes = b"", time_out=5.0,
+def request_once(address: Address, method: str, target: str, headers=(), body: bytes = b"", time_out=5.0,
               connect=1.0) -> Reply:  # fmt: skip
-    """One request on a connection of its own, and its reply; raises as `Call` does."""
-    call = Call(address, connect)
+    """One request on a connection of its own, and its reply; raises as `ClientConnection` does."""
+    call = ClientConnection(address, connect)
     try:
         call.send(method, target, headers, body)
         return call.receive(time_out)
@@ -302,7 +302,7 @@
         call.close()
 
 
-class Pool:
+class ConnectionPool:
     """Idle connections to one address, for requests that do no harm when sent twice (PATCH of a rung,
     DELETE).
     """
@@ -325,14 +325,14 @@
                 call.close()  # an idle connection may have died unseen: once more on a new one
                 if time.monotonic() >= deadline:
                     raise
-        call = Call(self.address, min(self.connect, time_out))
+        call = ClientConnection(self.address, min(self.connect, time_out))
         try:
             return self._on(call, method, target, headers, body, deadline)
         except BaseException:
             call.close()
             raise
 
-    def keep(self, call: Call) -> None:
+    def keep(self, call: ClientConnection) -> None:
         """Take a connection whose reply was read whole, or close it."""
         if len(self.idle) < self.KEEP and call.reusable():
             self.idle.append(call)
@@ -389,7 +389,7 @@
 
     def _turn_away(self, sock) -> None:
         conn = h11.Connection(h11.SERVER)
-        with suppress(OSError, Hung, h11.LocalProtocolError):
+        with suppress(OSError, PeerDisconnectedError, h11.LocalProtocolError):
             reply = problem("overloaded", "too many connections", [("Retry-After", "1")])
             _send(sock, conn, reply, "", self.bounds, close=True)
         with suppress(OSError):
--- a/herongap/daemon/journal.py
+++ b/herongap/daemon/journal.py
@@ -18,7 +18,7 @@
 import msgspec
 import structlog
 
-from herongap.daemon.aside import put_aside
+from herongap.daemon.quarantine import quarantine
 from herongap.errors import HerongapError
 from herongap.interface import ViewingRequest
 from herongap.state import Known
@@ -28,7 +28,7 @@
 log = structlog.get_logger()
 
 
-class Entry(msgspec.Struct, array_like=True):
+class JournalEntry(msgspec.Struct, array_like=True):
     """One viewing. `key` and `digest` make its request known again, `remote` is its place at its streamer."""
 
     known: Known
@@ -44,14 +44,14 @@
     remote: list[Any] | None
 
 
-class Busy(HerongapError, OSError):
+class JournalLockedError(HerongapError, OSError):
     """Another process holds the journal."""
 
     advice = "end the other process, or name another file under [front] journal"
 
 
 class Journal:
-    """The journal at a path; raises OSError (Busy among them) if it cannot be opened.
+    """The journal at a path; raises OSError (JournalLockedError among them) if it cannot be opened.
 
     `name` is the front's name at streamers, which a restarted process keeps while it may have viewings there;
     `boot` counts its processes.
@@ -65,15 +65,15 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as fault:
             os.close(self._lock)
-            raise Busy(f"{path}: another process keeps its journal there") from fault
-        self._encode, self._decode = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Entry)
+            raise JournalLockedError(f"{path}: another process keeps its journal there") from fault
+        self._encode, self._decode = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(JournalEntry)
         self.env = self._opened()
         self.entries = self._read()
         known = self._meta("name")
         self.name = known if known and self.entries else name
-        self.boot = int(self._meta("boot") or 0) + 1
+        self.incarnation = int(self._meta("boot") or 0) + 1
         with self.env.begin(write=True) as txn:
-            for key, value in (("format", FORMAT), ("name", self.name), ("boot", self.boot)):
+            for key, value in (("format", FORMAT), ("name", self.name), ("boot", self.incarnation)):
                 txn.put(f"meta/{key}".encode(), str(value).encode())
 
     def _opened(self) -> lmdb.Environment:
@@ -88,7 +88,7 @@
         except lmdb.Error as fault:
             cause = repr(fault)
         folder = os.path.join(self.path, "viewings")
-        log.error("journal not read, put aside", path=put_aside(folder), cause=cause)
+        log.error("journal not read, put aside", path=quarantine(folder), cause=cause)
         return lmdb.open(folder, map_size=MOST, sync=False)
 
     def _meta(self, key: str) -> str | None:
@@ -96,7 +96,7 @@
             found = txn.get(f"meta/{key}".encode())
         return None if found is None else bytes(found).decode()
 
-    def _read(self) -> dict[str, Entry]:
+    def _read(self) -> dict[str, JournalEntry]:
         entries = {}
         with self.env.begin() as txn:
             for key, value in txn.cursor():
@@ -109,7 +109,7 @@
                     log.error("entry of the journal not read", key=bytes(key).decode(), cause=str(fault))
         return entries
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: JournalEntry) -> None:
         self._write(entry.ask.viewing, self._encode.encode(entry))
 
     def drop(self, viewing: int | str) -> None:
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -28,13 +28,13 @@
     advice = "remove the file, or put the key back that belongs under this name"
 
 
-class Unsafe(HerongapError, OSError):
+class UnsafePermissionsError(HerongapError, OSError):
     """A folder or a key that others may read or write."""
 
     advice = "take read and write from all others: chmod go-rwx"
 
 
-class Keys:
+class KeyStore:
     """The ring of a folder; times are seconds since the epoch."""
 
     def __init__(self, folder: str | Path, rotate: float, ahead: float, longest: float):
@@ -43,10 +43,10 @@
         self.ring = Ring((), *self.terms)
 
     def load(self, now: float) -> None:
-        """Read the folder, make a key if one is due, delete those that are dead.
+        """Read the folder, make a key if one is due and delete expired ones.
 
-        Raises OSError (Unsafe among them) where the folder cannot be used. A key that cannot be read is named
-        in the log and passed over.
+        Raises OSError (including UnsafePermissionsError) if the folder cannot be used. A key that cannot be
+        read is logged and skipped.
         """
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         _safe(self.folder)
@@ -126,6 +126,6 @@
 def _safe(path: Path) -> None:
     status = path.stat()
     if status.st_mode & 0o077 or status.st_uid != os.getuid():
-        raise Unsafe(
+        raise UnsafePermissionsError(
             f"{path}: others may read or write it; wanted is its owner alone (mode 0700, files 0600)"
         )
--- a/herongap/daemon/remembered.py
+++ b/herongap/daemon/list_cache.py
@@ -14,7 +14,7 @@
 import msgspec
 import structlog
 
-from herongap.daemon.aside import put_aside
+from herongap.daemon.quarantine import quarantine
 from herongap.errors import Unusable
 from herongap.etcd.follower import Item
 
@@ -36,7 +36,7 @@
     advice = "remove the file; the list is read from the store"
 
 
-class Remembered:
+class ListCache:
     """The store at a path; a directory is made there."""
 
     def __init__(self, path: str):
@@ -92,7 +92,7 @@
     def _put_aside(self, fault: Exception) -> None:
         self.close()
         try:
-            aside = put_aside(self.path)
+            aside = quarantine(self.path)
         except OSError as worse:
             log.error("remembered list not read", path=self.path, cause=repr(fault), and_then=repr(worse))
             return
--- a/herongap/daemon/aside.py
+++ b/herongap/daemon/quarantine.py
@@ -3,7 +3,7 @@
 import os
 
 
-def put_aside(path: str) -> str:
+def quarantine(path: str) -> str:
     """Rename a file or folder to the first free PATH.bad-N; its new name. Raises OSError."""
     aside = next(name for i in range(1000) if not os.path.exists(name := f"{path}.bad-{i}"))
     os.rename(path, aside)
--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -9,9 +9,9 @@
 import structlog
 from gevent.pool import Pool as Greenlets
 
-from herongap.daemon.door import Door
-from herongap.daemon.journal import Entry, Journal
-from herongap.daemon.session import Remote, Session
+from herongap.daemon.journal import Journal, JournalEntry
+from herongap.daemon.session import RemoteSession, Session
+from herongap.daemon.session_service import SessionService
 from herongap.host import Answer
 from herongap.interface import EndReason
 from herongap.state import Fate, Found, Kept, Known, reconcile
@@ -25,7 +25,7 @@
 class Recovery:
     """One start. `begin` before the front listens, `run` once it does."""
 
-    def __init__(self, journal: Journal, door: Door, secrets: dict[str, Session]):
+    def __init__(self, journal: Journal, door: SessionService, secrets: dict[str, Session]):
         self.journal, self.door, self.secrets = journal, door, secrets
         self.port, self.host = door.port, door.host
         self.told = dict.fromkeys(("adopted", "ended", "gone"), 0)
@@ -37,7 +37,7 @@
                 entry.ask.viewing, entry.secret, entry.protocol, entry.ask.title, "", b"", entry.owner,
                 tuple(entry.key), entry.digest,
             )  # fmt: skip
-            session.remote = Remote(*entry.remote) if entry.remote else None
+            session.remote = RemoteSession(*entry.remote) if entry.remote else None
             self.port.sessions[entry.ask.viewing] = session
             self.door.repeats.add(session.key, session.digest, entry.ask.viewing)
             if entry.protocol != "dash":
@@ -54,16 +54,16 @@
             log.info("recovered", seconds=round(time.monotonic() - began, 3), **self.told)
         self.journal.entries.clear()
 
-    def _value(self, entry: Entry) -> float:
+    def _value(self, entry: JournalEntry) -> float:
         package = self.door.packages.get(entry.ask.package)
         return package.value if package else 0.0
 
-    def _await_list(self, entries: list[Entry]) -> None:
+    def _await_list(self, entries: list[JournalEntry]) -> None:
         until = time.monotonic() + LISTED
         while time.monotonic() < until and any(e.streamer not in self.host.statuses for e in entries):
             gevent.sleep(0.02)
 
-    def _settle(self, entry: Entry) -> None:
+    def _settle(self, entry: JournalEntry) -> None:
         viewing, session = entry.ask.viewing, self.port.sessions[entry.ask.viewing]
         there = self._there(session)
         kept = Kept(viewing, entry.number, entry.streamer, entry.known, entry.rung, self._value(entry))
@@ -90,7 +90,7 @@
                 return there
         return None
 
-    def _adopt(self, entry: Entry, session: Session) -> None:
+    def _adopt(self, entry: JournalEntry, session: Session) -> None:
         viewing, remote = entry.ask.viewing, session.remote
         self.port.remotes[viewing, entry.number] = remote
         ask = entry.ask._replace(holders=frozenset(entry.ask.holders))
--- a/herongap/daemon/front.py
+++ b/herongap/daemon/request_handler.py
@@ -6,10 +6,10 @@
 import h11
 import structlog
 
-from herongap.daemon.dash import Dash
-from herongap.daemon.door import Door, Wish
+from herongap.daemon.dash import DashService
+from herongap.daemon.http_connection import Peer
 from herongap.daemon.session import Session
-from herongap.daemon.wire import Peer
+from herongap.daemon.session_service import SessionRequest, SessionService
 from herongap.host import ViewingState
 from herongap.http import SDP, Reply, Request, problem, wait_preferred
 from herongap.sdp import Offer
@@ -18,10 +18,10 @@
 log = structlog.get_logger()
 
 
-class Front:
+class RequestHandler:
     """Answers requests. What DASH is served by is None where it is not."""
 
-    def __init__(self, door: Door, dash: Dash | None = None):
+    def __init__(self, door: SessionService, dash: DashService | None = None):
         self.door, self.dash = door, dash
         self.site, self.host, self.port, self.clock = door.site, door.host, door.port, door.clock
         self.secrets: dict[str, Session] = {}
@@ -64,7 +64,7 @@
         patience = min(self.site.patience[package], wait_preferred(request) or math.inf)
         top = request.query.get("top", "")
         session = self.door.enter(
-            Wish(
+            SessionRequest(
                 protocol,
                 title,
                 package,
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -10,17 +10,17 @@
 import structlog
 from gevent.event import Event
 
-from herongap.daemon.budgets import terms
-from herongap.daemon.dash import Dash
-from herongap.daemon.door import Door
-from herongap.daemon.etcd import Feed
-from herongap.daemon.feed import Watched, epoch
-from herongap.daemon.front import Front
+from herongap.daemon.budgets import budget_terms
+from herongap.daemon.dash import DashService
+from herongap.daemon.etcd import StreamerRegistry
+from herongap.daemon.file_watcher import FileWatcher, epoch_on_clock
+from herongap.daemon.http_connection import Peer, Server
 from herongap.daemon.journal import Journal
 from herongap.daemon.listen import Address, listen, read_address
 from herongap.daemon.recovery import Recovery
-from herongap.daemon.streamers import Streamers
-from herongap.daemon.wire import Peer, Server
+from herongap.daemon.request_handler import RequestHandler
+from herongap.daemon.session_service import SessionService
+from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, Recorder, ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini import Site, read_catalogue, read_list
@@ -47,36 +47,38 @@
             self.name = self.journal.name
         self.intake = Intake(site.bounds)
         targets = {name: getattr(site.streamers, name) for name in ("whep", "whip", "dash")}
-        self.port = Streamers(self.name, site.connect, targets, clock)
+        self.port = StreamerPort(self.name, site.connect, targets, clock)
         self.port.journal = self.journal
         self.record = self._open_record()
         recorder = Recorder(self.record.write) if self.record else None
         self.host = Host(clock(), site.front.seed, site.charter, self.port, recorder, make)
         self.port.host = self.host
         self.catalogue = None
-        self.list = self.feed = None
+        self.list = self.registry = None
         if site.etcd is None:
-            self.list = Watched(site.streamers.list, self._listed, site.streamers.look)
+            self.list = FileWatcher(site.streamers.list, self._listed, site.streamers.look)
         else:
             f = site.front
-            budgets = tuple(terms(name, whole) for name, whole in site.wholes.items())
+            budgets = tuple(budget_terms(name, whole) for name, whole in site.wholes.items())
             told = self._fed, self._counted, budgets, self._given
-            self.feed = Feed(site.etcd, f.number, f.controllers, f.seed, self.name, clock, *told)
-            self.port.budgets, self.port.ranked = self.feed.budgets or None, self.feed.ranked
-        self.whispers = None
+            self.registry = StreamerRegistry(
+                site.etcd, f.number, f.controllers, f.seed, self.name, clock, *told
+            )
+            self.port.budgets, self.port.ranked = self.registry.budgets or None, self.registry.ranked
+        self.gossip = None
         if site.gossip:
-            from herongap.daemon.gossip import Whispers  # not loaded where it is off
+            from herongap.daemon.gossip import GossipMember  # not loaded where it is off
 
             f, life = site.front, time.time_ns() // 1_000_000
-            self.whispers = Whispers(site.gossip, f.number, life, f.zone, f.seed, clock, self._members)
+            self.gossip = GossipMember(site.gossip, f.number, life, f.zone, f.seed, clock, self._members)
         self.place: tuple[int | None, int] = (None, site.front.controllers)
         self.counted: tuple[int | None, int] | None = None
-        self.titles = Watched(site.catalogue.file, self._catalogued, 1.0)
-        self.door: Door | None = None
-        self.front: Front | None = None
+        self.titles = FileWatcher(site.catalogue.file, self._catalogued, 1.0)
+        self.door: SessionService | None = None
+        self.handler: RequestHandler | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
-        self._figures = Figures(self.host, self.intake, self.feed)
+        self._figures = Figures(self.host, self.intake, self.registry)
         self._greenlets: list = []
         self.stopped = Event()
 
@@ -90,25 +92,25 @@
         if self.list:
             self.list.read()
         site = self.site
-        self.door = Door(site, self.host, self.port, self.intake, self.catalogue, self.clock)
-        dash = Dash(site.dash, self.door) if site.dash else None
+        self.door = SessionService(site, self.host, self.port, self.intake, self.catalogue, self.clock)
+        dash = DashService(site.dash, self.door) if site.dash else None
         if dash:
             dash.load()
-        self.front = Front(self.door, dash)
-        recovery = Recovery(self.journal, self.door, self.front.secrets) if self.journal else None
+        self.handler = RequestHandler(self.door, dash)
+        recovery = Recovery(self.journal, self.door, self.handler.secrets) if self.journal else None
         if recovery:
             recovery.begin()
         self.server = Server(
-            listen(read_address(site.front.listen)), self.front.handle, site.bounds, self.intake
+            listen(read_address(site.front.listen)), self.handler.handle, site.bounds, self.intake
         )
         if site.front.metrics:
             self.metrics = Server(listen(read_address(site.front.metrics)), self._scraped, site.bounds)
         runs = (self.port.run, self.titles.run, self._beat, self._feel)
         self._greenlets = [gevent.spawn(run) for run in runs]
         # With etcd a front listens before it has a list: it starts on what it remembers, or blocks.
-        self._greenlets += self.feed.start() if self.feed else [gevent.spawn(self.list.run)]
-        if self.whispers:
-            self._greenlets += gevent.spawn(self.whispers.listen), gevent.spawn(self.whispers.run)
+        self._greenlets += self.registry.start() if self.registry else [gevent.spawn(self.list.run)]
+        if self.gossip:
+            self._greenlets += gevent.spawn(self.gossip.listen), gevent.spawn(self.gossip.run)
         if recovery:
             self._greenlets.append(gevent.spawn(recovery.run))
         log.info("listening", address="{}:{}".format(*self.address), name=self.name)
@@ -118,8 +120,8 @@
         time.
         """
         self.intake.stopping = True
-        if self.whispers:
-            self.whispers.leave()
+        if self.gossip:
+            self.gossip.leave()
         until = self.clock() + self.site.front.stop_within
         log.info("stopping", held=len(self.host.viewings))
         budgets = self.port.budgets
@@ -133,7 +135,7 @@
             self.host.left(self.clock(), viewing)
         while self.clock() < until and self.host.viewings:
             gevent.sleep(0.02)
-        while self.clock() < until and budgets and not budgets.left:
+        while self.clock() < until and budgets and not budgets.released:
             gevent.sleep(0.02)  # what it does not use is of use to others now, not after its lease
         gevent.sleep(0.05)  # replies that are on their way out
         self.kill()
@@ -141,10 +143,10 @@
 
     def kill(self) -> None:
         """Close everything at once."""
-        if self.feed:
-            self.feed.close()
-        if self.whispers:
-            self.whispers.close()
+        if self.registry:
+            self.registry.close()
+        if self.gossip:
+            self.gossip.close()
         for server in (self.server, self.metrics):
             if server:
                 server.close()
@@ -166,7 +168,7 @@
         return open(path, "ab", buffering=1 << 16)  # noqa: SIM115
 
     def _listed(self, data: bytes) -> None:
-        lines, addresses = read_list(data, epoch(self.clock))
+        lines, addresses = read_list(data, epoch_on_clock(self.clock))
         self.port.addresses |= addresses
         self.host.listed(self.clock(), "whole", lines)
         log.info("list taken", streamers=len(lines))
@@ -181,9 +183,9 @@
 
     def _members(self) -> None:
         rank, count = self.place
-        if self.whispers:
-            count = self.whispers.gossip.count(count, rank is not None)
-        if self.feed and (rank, count) != self.counted:
+        if self.gossip:
+            count = self.gossip.gossip.count(count, rank is not None)
+        if self.registry and (rank, count) != self.counted:
             self.counted = rank, count
             self.host.counted(self.clock(), rank, count)
 
@@ -204,8 +206,11 @@
             }
             for name, standing in sorted(self.host.statuses.items())
         }
-        listing = {"streamers": told, "source": self.feed.told() if self.feed else {"state": "file"}}
-        return listing | ({"members": self.whispers.told()} if self.whispers else {})
+        listing = {
+            "streamers": told,
+            "source": self.registry.status() if self.registry else {"state": "file"},
+        }
+        return listing | ({"members": self.gossip.status()} if self.gossip else {})
 
     def _scraped(self, request: Request, peer: Peer) -> Reply:
         if request.method not in ("GET", "HEAD"):
@@ -230,7 +235,7 @@
                 self.record.flush()
 
 
-def until_signal(daemon: Daemon) -> None:
+def run_until_signal(daemon: Daemon) -> None:
     """Announce a daemon's address on standard output and run it until SIGTERM or SIGINT.
 
     A second signal ends the process at once.
--- a/herongap/daemon/session.py
+++ b/herongap/daemon/session.py
@@ -16,7 +16,7 @@
 Id = int | str
 
 
-class Remote(NamedTuple):
+class RemoteSession(NamedTuple):
     """A session resource at a streamer. URLs are paths there; "" where the extension is not offered."""
 
     streamer: Id
@@ -27,7 +27,7 @@
     events: str
 
 
-def read_remote(streamer: Id, target: str, reply: Reply) -> Remote | None:
+def read_remote_session(streamer: Id, target: str, reply: Reply) -> RemoteSession | None:
     """What a 201 of a streamer to a POST at `target` says; None without a Location on the same server."""
     location = _path(target, reply.header("location") or "")
     if not location:
@@ -37,7 +37,7 @@
         t.rel: _path(target, t.url) for k, v in reply.headers if k.lower() == "link" for t in read_links(v)
     }
     body = reply.body if isinstance(reply.body, bytes) else b""
-    return Remote(
+    return RemoteSession(
         streamer, location, reply.header("etag") or "", body, links.get(LAYERS, ""), links.get(EVENTS, "")
     )
 
@@ -65,7 +65,7 @@
     digest: str = ""
     done: Event = field(default_factory=Event)
     answer: Answer | None = None
-    remote: Remote | None = None
+    remote: RemoteSession | None = None
     waiting: int = 0
     rung: int | None = None
     setting: bool = False
--- a/herongap/daemon/door.py
+++ b/herongap/daemon/session_service.py
@@ -1,7 +1,7 @@
 """What all fronts of one controller share: who asks, whether it is a viewing known already, its one answer.
 
-A front reads its protocol's request into a `Wish`; the door takes it to the host once, however often it
-comes, and gives the session that plays or the reply that refuses.
+A protocol handler reads its request into a `SessionRequest`; the service takes it to the host once, however
+often it comes, and gives the session that plays or the reply that refuses.
 """
 
 import hmac
@@ -15,9 +15,9 @@
 import gevent
 import structlog
 
+from herongap.daemon.http_connection import Peer, PeerDisconnectedError
 from herongap.daemon.session import Session
-from herongap.daemon.streamers import Streamers
-from herongap.daemon.wire import Hung, Peer
+from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, RepeatDetector, RepeatMatch
 from herongap.http import Reply, Request, bearer, problem
 from herongap.ini import Catalogue, Site
@@ -27,7 +27,7 @@
 log = structlog.get_logger()
 
 
-class Wish(NamedTuple):
+class SessionRequest(NamedTuple):
     """What a front asks the door for. `key` is what makes two wishes one viewing, `digest` what must then be
     equal in both; `offer` of `media_type` is what the streamer is sent. Patience in seconds.
     """
@@ -46,12 +46,12 @@
     top: str = ""
 
 
-class Door:
+class SessionService:
     """The shared part of all fronts. `host` and `port` are one controller's; `intake` bounds what the process
     takes on.
     """
 
-    def __init__(self, site: Site, host: Host, port: Streamers, intake: Intake, catalogue: Catalogue,
+    def __init__(self, site: Site, host: Host, port: StreamerPort, intake: Intake, catalogue: Catalogue,
                  clock=time.monotonic):  # fmt: skip
         self.site, self.host, self.port, self.intake = site, host, port, intake
         self.catalogue, self.clock = catalogue, clock
@@ -104,7 +104,7 @@
 
     # Viewings.
 
-    def enter(self, wish: Wish, peer: Peer) -> Session | Reply:
+    def enter(self, wish: SessionRequest, peer: Peer) -> Session | Reply:
         """The session of a wish, which plays, or the reply that says why there is none; blocks until then."""
         now = self.clock()
         again, viewing = self.repeats.match(now, wish.key, wish.digest)
@@ -120,10 +120,10 @@
             return problem(kind, headers=[("Retry-After", str(math.ceil(come_back)))] if come_back else ())
         return self._await(self._take(wish, peer), peer)
 
-    def _take(self, wish: Wish, peer: Peer) -> Session:
+    def _take(self, wish: SessionRequest, peer: Peer) -> Session:
         p = self.packages[wish.package]
         # With a journal each process has ids of its own: those of the one before may still play.
-        process = f".{self.port.journal.boot}" if self.port.journal else ""
+        process = f".{self.port.journal.incarnation}" if self.port.journal else ""
         viewing = f"v{self.site.front.number}{process}-{next(self._ids)}"
         session = Session(
             viewing,
@@ -165,7 +165,7 @@
         try:
             # The host answers by the patience of the viewing; this is only against a fault there.
             if not session.done.is_set() and not peer.wait(session.done, 660.0):
-                raise Hung
+                raise PeerDisconnectedError
         finally:
             session.waiting -= 1
             if not session.waiting and peer.gone:
@@ -175,7 +175,7 @@
         if answer.verdict == "plays":
             return session
         if answer.verdict == "gone":
-            raise Hung
+            raise PeerDisconnectedError
         if answer.cause is EndReason.NOT_SENT:
             return problem("offer-refused")
         if answer.verdict == "blocked":
--- a/herongap/daemon/events.py
+++ b/herongap/daemon/streamer_events.py
@@ -9,7 +9,7 @@
 import h11
 import structlog
 
-from herongap.daemon.wire import Address, Call
+from herongap.daemon.http_connection import Address, ClientConnection
 from herongap.host.liveness import Liveness, StreamerLiveness
 from herongap.interface import EndReason
 from herongap.whep import EventReader
@@ -33,7 +33,7 @@
     def lost(self, streamer: Id, target: str, cause: str) -> None: ...
 
 
-class Follower:
+class EventSubscription:
     """One event stream: subscribe (POST), read (GET), come back after a break. `name` is the front's."""
 
     def __init__(self, listener: Listener, name: str, connect: float, clock: Callable[[], float],
@@ -41,7 +41,7 @@
         self.listener, self.name, self.connect, self.clock = listener, name, connect, clock
         self.streamer, self.address, self.target = streamer, address, target
         self.liveness = StreamerLiveness(clock())
-        self.call: Call | None = None
+        self.call: ClientConnection | None = None
         self.silent = False
         self._greenlet = gevent.spawn(self._run)
 
@@ -73,7 +73,7 @@
 
     def _read_stream(self) -> bool:
         """Read until the stream ends; True if the streamer does not know it (any more)."""
-        self.call = Call(self.address, self.connect)
+        self.call = ClientConnection(self.address, self.connect)
         name = [("Via", f"1.1 {self.name}")]
         self.call.send("POST", self.target, [*name, ("Content-Type", "application/json")], WANTED)
         made = self.call.receive(2.0)
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -11,12 +11,12 @@
 import h11
 import structlog
 
-from herongap.daemon.alarm import Alarm
 from herongap.daemon.budgets import Budgets
-from herongap.daemon.events import Follower
-from herongap.daemon.journal import Entry, Journal
-from herongap.daemon.session import Remote, Session, read_remote
-from herongap.daemon.wire import Address, Call, Pool
+from herongap.daemon.http_connection import Address, ClientConnection, ConnectionPool
+from herongap.daemon.journal import Journal, JournalEntry
+from herongap.daemon.session import RemoteSession, Session, read_remote_session
+from herongap.daemon.streamer_events import EventSubscription
+from herongap.daemon.timer import Timer
 from herongap.host import Answer, Host
 from herongap.http import Reply
 from herongap.interface import EndReason, LoadReport, ViewingRequest
@@ -30,7 +30,7 @@
 log = structlog.get_logger()
 
 
-class Streamers:
+class StreamerPort:
     """Carries the host's decisions to streamers, and what comes of them back."""
 
     def __init__(self, name: str, connect: float, targets: dict[str, str], clock=time.monotonic):
@@ -38,15 +38,15 @@
         self.host: Host | None = None
         self.addresses: dict[Id, Address] = {}
         self.sessions: dict[Id, Session] = {}
-        self.calls: dict[tuple[Id, int], Call | None] = {}
-        self.remotes: dict[tuple[Id, int], Remote] = {}
-        self.pools: dict[Address, Pool] = {}
-        self.followers: dict[tuple[Id, str], Follower] = {}
+        self.calls: dict[tuple[Id, int], ClientConnection | None] = {}
+        self.remotes: dict[tuple[Id, int], RemoteSession] = {}
+        self.pools: dict[Address, ConnectionPool] = {}
+        self.subscriptions: dict[tuple[Id, str], EventSubscription] = {}
         self.on_over = lambda session, answer: None
         self.journal: Journal | None = None
         self.budgets: Budgets | None = None
         self.ranked: Callable[[], bool] = lambda: True  # whether our place among the controllers still holds
-        self.alarm = Alarm(clock)
+        self.alarm = Timer(clock)
 
     # The port.
 
@@ -142,7 +142,7 @@
         life = self.host.viewings[viewing]
         remote = list(session.remote) if session.remote else None
         self.journal.put(
-            Entry(
+            JournalEntry(
                 known, life.request, life.number, life.streamer, life.rung, session.protocol, session.secret,
                 session.owner, list(session.key), session.digest, remote,
             )
@@ -168,7 +168,7 @@
                 return
             # A connection of its own: on a kept one, a reset could not be told from one that came before the
             # request was read, and whether it ran is what the package's terms go by.
-            call = Call(self.addresses[streamer], min(self.connect, 0.9 * time_out))
+            call = ClientConnection(self.addresses[streamer], min(self.connect, 0.9 * time_out))
             if not self._leaves(viewing, number):
                 call.close()
                 how, load = EndReason.FULL, LoadReport()  # it never left, and its streamer is sound
@@ -223,10 +223,10 @@
 
     def _read(
         self, streamer: Id, target: str, reply: Reply
-    ) -> tuple[EndReason, LoadReport | None, Remote | None]:
+    ) -> tuple[EndReason, LoadReport | None, RemoteSession | None]:
         load = read_load(reply.header(HEADER))
         if reply.status == 201:
-            remote = read_remote(streamer, target, reply)
+            remote = read_remote_session(streamer, target, reply)
             return EndReason.FAULTY, load, remote
         if reply.status == 503:
             return EndReason.FULL, load, None
@@ -287,7 +287,7 @@
         now = self.clock()
         self.host.probed(now, streamer, how, now - began, load)
 
-    def there(self, remote: Remote) -> bool | None:
+    def there(self, remote: RemoteSession) -> bool | None:
         """Whether a streamer still has a session; None where it does not say."""
         try:
             # A session resource serves no GET (RFC 9725, 4.2: 405); what matters is that it is one.
@@ -295,7 +295,9 @@
         except (OSError, h11.ProtocolError, KeyError):
             return None
 
-    def forward(self, remote: Remote, method: str, headers: list[tuple[str, str]], body: bytes) -> Reply:
+    def forward(
+        self, remote: RemoteSession, method: str, headers: list[tuple[str, str]], body: bytes
+    ) -> Reply:
         """A client's PATCH to its session's streamer; raises OSError, h11.ProtocolError or KeyError."""
         return self._call(remote.streamer, method, remote.path, body, 3.0, headers)
 
@@ -305,25 +307,25 @@
         pool = self._pool(self.addresses[streamer])
         return pool.call(method, target, [*self._headers(), *headers], body, time_out)
 
-    def _pool(self, address: Address) -> Pool:
+    def _pool(self, address: Address) -> ConnectionPool:
         if address not in self.pools:
-            self.pools[address] = Pool(address, self.connect)
+            self.pools[address] = ConnectionPool(address, self.connect)
         return self.pools[address]
 
     # Event streams: one for each address that streamers name, shared by the viewings that name it.
 
-    def follow_events(self, remote: Remote) -> None:
+    def follow_events(self, remote: RemoteSession) -> None:
         """Hear what the streamer of a session says of it."""
         key = remote.streamer, remote.events
-        if remote.events and key not in self.followers:
+        if remote.events and key not in self.subscriptions:
             where = remote.streamer, self.addresses[remote.streamer], remote.events
-            self.followers[key] = Follower(self, self.name, self.connect, self.clock, *where)
+            self.subscriptions[key] = EventSubscription(self, self.name, self.connect, self.clock, *where)
 
-    def _unfollow(self, remote: Remote) -> None:
+    def _unfollow(self, remote: RemoteSession) -> None:
         key = remote.streamer, remote.events
         if not any(
             s.remote and (s.remote.streamer, s.remote.events) == key for s in self.sessions.values()
-        ) and (follower := self.followers.pop(key, None)):
+        ) and (follower := self.subscriptions.pop(key, None)):
             follower.stop()
 
     def share_told(self, streamer: Id, share: float) -> None:
@@ -342,7 +344,7 @@
 
     def lost(self, streamer: Id, target: str, cause: str) -> None:
         """A streamer's process is gone, and all that it played with it; `target` was its event stream."""
-        self.followers.pop((streamer, target), None)
+        self.subscriptions.pop((streamer, target), None)
         held = self.host.playing_at(streamer)
         log.warning("streamer lost", streamer=streamer, viewings=len(held), cause=cause)
         for viewing, number in held:
@@ -352,7 +354,7 @@
             self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
     def close(self) -> None:
-        for follower in self.followers.values():
+        for follower in self.subscriptions.values():
             follower.stop()
         for pool in self.pools.values():
             pool.close()
--- a/herongap/daemon/alarm.py
+++ b/herongap/daemon/timer.py
@@ -9,7 +9,7 @@
 log = structlog.get_logger()
 
 
-class Alarm:
+class Timer:
     """Rings at the time that was set last, on the host's clock; setting it anew replaces that."""
 
     def __init__(self, clock: Callable[[], float]):
--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -12,7 +12,7 @@
 import gevent
 import structlog
 
-from herongap.daemon.alarm import Alarm
+from herongap.daemon.timer import Timer
 from herongap.host import Answer, Host, ViewingState
 from herongap.host.liveness import (
     PAID_TEST_TIMES,
@@ -50,7 +50,7 @@
         self.given_up: dict[tuple[str, str], float] = {}
         # Ends of viewings that nobody has handed over yet: a release may come before the set-up with `at`.
         self.released: dict[tuple[str, str], tuple[EndReason, float]] = {}
-        self.alarm = Alarm(clock)
+        self.alarm = Timer(clock)
         self._tests = count(1)
         self.probes: dict[str, tuple[str, float]] = {}
 
--- a/herongap/observe/metrics.py
+++ b/herongap/observe/metrics.py
@@ -56,7 +56,7 @@
             streamers.add_metric([standing], count)
         yield streamers
         if self.feed:
-            yield from self._followed(self.feed.told())
+            yield from self._followed(self.feed.status())
 
     def _followed(self, told: dict) -> Iterator:
         state = GaugeMetricFamily("herongap_list_state", "1 for the follower's state", labels=["state"])
@@ -92,5 +92,5 @@
                 family.add_metric([name], float("nan") if value is None else value)
             yield family
         yield CounterMetricFamily(
-            "herongap_budget_unknown", "Commits without an answer", value=self.feed.budgets.unknown
+            "herongap_budget_unknown", "Commits without an answer", value=self.feed.budgets.unknown_outcomes
         )
--- a/herongap/rehearsal/controller.py
+++ b/herongap/rehearsal/controller.py
@@ -11,7 +11,7 @@
 from gevent.fileobject import FileObject
 
 from herongap import observe
-from herongap.daemon.run import Daemon, until_signal
+from herongap.daemon.run import Daemon, run_until_signal
 from herongap.fleet.baselines import POLICIES
 from herongap.ini import read_site
 
@@ -47,7 +47,7 @@
     daemon = Daemon(site, POLICIES[policy], clock)
     daemon.start()
     gevent.spawn(follow_orders, clock)
-    until_signal(daemon)
+    run_until_signal(daemon)
 
 
 if __name__ == "__main__":
--- a/herongap/rehearsal/relay.py
+++ b/herongap/rehearsal/relay.py
@@ -8,7 +8,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from herongap.daemon.wire import Address
+from herongap.daemon.http_connection import Address
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing tells the other side of it as a reset
 CHUNK = 65536
--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -15,7 +15,7 @@
 from gevent import subprocess as green
 
 from herongap.accord.shares import with_whole
-from herongap.daemon.wire import Address
+from herongap.daemon.http_connection import Address
 from herongap.fleet.day import (
     MEMBERS,
     Arrival,
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -15,8 +15,8 @@
 import gevent
 from gevent.event import Event
 
+from herongap.daemon.http_connection import Peer, Server
 from herongap.daemon.listen import listen
-from herongap.daemon.wire import Peer, Server
 from herongap.etcd.messages import end_of
 from herongap.http import Reply, Request
 from herongap.intake import Bounds
--- a/herongap/standins/player.py
+++ b/herongap/standins/player.py
@@ -14,7 +14,7 @@
 import gevent
 import h11
 
-from herongap.daemon.wire import Address, Pool, call_once
+from herongap.daemon.http_connection import Address, ConnectionPool, request_once
 from herongap.http import Reply, kind_of
 
 NS = "{urn:mpeg:dash:schema:mpd:2011}"
@@ -65,7 +65,7 @@
         self.rungs: list[int] = []
         self.statuses: list[int] = []
         self.read_at = float("-inf")
-        self.pools: dict[Address, Pool] = {}
+        self.pools: dict[Address, ConnectionPool] = {}
 
     def again(self) -> None:
         """Begin a new session, as a player does that is opened anew or goes to another front."""
@@ -85,7 +85,7 @@
     def _fetch(self, target: str, patience: float) -> Reply | None:
         began, reply, kind = self.clock(), None, ""
         try:
-            reply = call_once(self.front, "GET", target, self.headers, time_out=patience)
+            reply = request_once(self.front, "GET", target, self.headers, time_out=patience)
         except TimeoutError:
             kind = "gave-up"
         except NETWORK as fault:
@@ -157,7 +157,7 @@
         rung = self._choose(m)
         told = f'bl={int(self.buffer * 1000)},br={int(m.rates[rung] * 8)},sid="{self.sid}"'
         told += ",bs" if self.starved else ""
-        pool = self.pools.setdefault(m.streamer, Pool(m.streamer, 0.5))
+        pool = self.pools.setdefault(m.streamer, ConnectionPool(m.streamer, 0.5))
         began = self.clock()
         try:
             target = f"{m.base}{rung}/{self.next}.m4s?CMCD={quote(told)}"
@@ -200,6 +200,6 @@
     def delete(self) -> int:
         """End the session; the status, 0 where none came."""
         try:
-            return call_once(self.front, "DELETE", self.location, self.headers).status
+            return request_once(self.front, "DELETE", self.location, self.headers).status
         except NETWORK:
             return 0
--- a/herongap/standins/segments.py
+++ b/herongap/standins/segments.py
@@ -12,7 +12,7 @@
 import h11
 from gevent.lock import RLock
 
-from herongap.daemon.wire import Address, Hung, Peer, call_once
+from herongap.daemon.http_connection import Address, Peer, PeerDisconnectedError, request_once
 from herongap.dash import Checker, Refusal, read_cmcd
 from herongap.http import Reply, Request, problem
 
@@ -44,7 +44,7 @@
         _, title, token, rung, file = path
         if st.machine.muted():
             peer.wait(st.cut_off, 600.0)
-            raise Hung
+            raise PeerDisconnectedError
         try:
             grant = self._check(token, title)
         except Refusal as refusal:
@@ -105,7 +105,7 @@
 
     def _fetch_from(self, address: Address) -> bool:
         try:
-            self.checker.learn(json.loads(call_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body))
+            self.checker.learn(json.loads(request_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body))
             return True
         except (OSError, h11.ProtocolError, ValueError) as fault:
             self.streamer.log(self.streamer.name, "keys-not-read", cause=repr(fault)[:80])
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -10,8 +10,8 @@
 from gevent.event import Event
 from gevent.queue import Empty, Queue
 
+from herongap.daemon.http_connection import Peer, PeerDisconnectedError, Server
 from herongap.daemon.listen import listen
-from herongap.daemon.wire import Hung, Peer, Server
 from herongap.fleet.machine import Machine, Session
 from herongap.http import SDP, Reply, Request, link, problem
 from herongap.intake import Bounds
@@ -115,7 +115,7 @@
         peer.wait(self.cut_off, 600.0)
         if identity:
             self.log(self.name, "hung-up", identity=identity)
-        raise Hung
+        raise PeerDisconnectedError
 
     # HTTP.
 
@@ -176,7 +176,7 @@
         if slow := self.faults.get("slow"):
             delay += slow["by"]
         if not self._pause(peer, delay, identity):
-            raise Hung
+            raise PeerDisconnectedError
         if (bad := self.faults.get("fail")) and self.farm.random.random() < bad.get("part", 1.0):
             return self._refuse(identity, problem("internal"))
         if self.machine.fallen or not self.running:
@@ -218,7 +218,7 @@
             with suppress(OSError):
                 peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.sock.close()
-            raise Hung
+            raise PeerDisconnectedError
         links = [link(f"/r/{name}/layer", LAYERS)]
         if protocol != "whip":
             links.append(link(f"/events/{front or '-'}", EVENTS, events="active,inactive,layers,viewercount"))
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -10,7 +10,7 @@
 import sdp_transform
 from gevent import socket
 
-from herongap.daemon.wire import Address, Call, call_once
+from herongap.daemon.http_connection import Address, ClientConnection, request_once
 from herongap.http import FRAGMENT, SDP, Reply, kind_of
 from herongap.sdp import Endpoint, Fragment, offer
 from herongap.sdp.fragment import write_fragment
@@ -63,7 +63,7 @@
         self.log(self.name, "asked", **asked)
         status, kind, reply, call = 0, "", None, None
         try:
-            call = Call(self.front, 2.0)
+            call = ClientConnection(self.front, 2.0)
             call.send("POST", self.target, [("Content-Type", SDP), *self.headers], self.offer.encode())
             reply = call.receive(patience if hang_up is None else hang_up)
             status, kind = reply.status, kind_of(reply.body)
@@ -108,7 +108,7 @@
     def call(self, method: str, headers=(), body: bytes = b"", target: str | None = None) -> Reply:
         """Any other request to the front."""
         target = self.location if target is None else target
-        return call_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
+        return request_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
 
     def trickle(self, tag: str | None = None) -> Reply:
         fragment = Fragment(self.me.ufrag, self.me.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -20,8 +20,8 @@
 from herongap.accord.ledger import write
 from herongap.accord.shares import divided
 from herongap.cli import main
-from herongap.daemon.budgets import terms
-from herongap.daemon.wire import call_once
+from herongap.daemon.budgets import budget_terms
+from herongap.daemon.http_connection import request_once
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
@@ -59,7 +59,7 @@
         FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
         FleetBudget("further", BudgetScope.FURTHER),
     )
-    all_ = [terms(name, whole) for name, whole in made.wholes.items()]
+    all_ = [budget_terms(name, whole) for name, whole in made.wholes.items()]
     assert all_ == [
         Terms("seats", Kind.HELD, 40, linger=8.0),
         Terms("further", Kind.RATE, 6, window=2.0, keep=False),
@@ -265,7 +265,7 @@
 
         def ask_it(quiet=0.3):
             body = json.dumps({"key": "YQ==", "value": "MQ=="}).encode()
-            return call_once(relay.address, "POST", "/v3/kv/put", [], body, time_out=quiet).status
+            return request_once(relay.address, "POST", "/v3/kv/put", [], body, time_out=quiet).status
 
         assert ask_it() == 200
         before = etcd.history.revision
@@ -299,13 +299,13 @@
         etcd.elect(0.4)
         for i in range(40):
             body = json.dumps({"key": "YQ==", "value": "MQ=="}).encode()
-            assert call_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503, i
+            assert request_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503, i
         assert before < etcd.history.revision < before + 40
         gevent.sleep(0.6)
         assert etcd.history.leases[lease][0] > time.monotonic() + 0.5, "its whole time again"
         etcd.members[0].part(True)
         revision = etcd.history.revision
-        assert call_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503
+        assert request_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503
         etcd.history.put(b"b", b"2")
         assert etcd.members[0].revision() == revision
         etcd.members[0].part(False)
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -16,7 +16,7 @@
 from joserfc.jwk import OctKey
 
 from herongap.cli import main
-from herongap.daemon.keys import Keys, Unsafe
+from herongap.daemon.keys import KeyStore, UnsafePermissionsError
 from herongap.dash import (
     Asset,
     Checker,
@@ -306,13 +306,13 @@
 
 
 def test_keys_are_kept_for_their_owner_alone_rotated_and_never_logged(tmp_path, capfd):
-    keys = Keys(tmp_path / "keys", 100.0, 10.0, 30.0)
+    keys = KeyStore(tmp_path / "keys", 100.0, 10.0, 30.0)
     keys.load(NOW)
     (path,) = (tmp_path / "keys").glob("*.key")
     assert stat.S_IMODE(path.stat().st_mode) == 0o600 and stat.S_IMODE(path.parent.stat().st_mode) == 0o700
     private = json.loads(path.read_text())["key"]["d"]
     token = keys.mint(NOW, GRANT)
-    again = Keys(tmp_path / "keys", 100.0, 10.0, 30.0)
+    again = KeyStore(tmp_path / "keys", 100.0, 10.0, 30.0)
     again.load(NOW + 100)
     assert len(again.pairs) == 2 and len(again.jwks(NOW + 100)["keys"]) == 2
     assert Checker("s3", again.jwks(NOW + 100)).check(NOW + 1, token, "news") == GRANT
@@ -324,7 +324,7 @@
     told = "".join(capfd.readouterr())
     assert "key not read" in told and private not in told
     os.chmod(next(path.parent.glob("1*.key")), 0o640)
-    with pytest.raises(Unsafe):
+    with pytest.raises(UnsafePermissionsError):
         again.load(NOW + 146)
 
 
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -7,7 +7,7 @@
 from helpers import closing
 from loopback import KIND, World
 
-from herongap.daemon.wire import Call
+from herongap.daemon.http_connection import ClientConnection
 from herongap.host import ViewingState
 from herongap.standins.player import Player
 
@@ -42,7 +42,7 @@
         return Player(name, self.daemon.address, target, lambda *a, **k: None, **more)
 
     def fetch(self, address, target, method="GET"):
-        call = Call(address, 1.0)
+        call = ClientConnection(address, 1.0)
         call.send(method, target)
         reply = call.receive(5.0)
         call.close()
@@ -132,7 +132,7 @@
     assert w.segment(m, base=m.base.replace("/dash/1/", "/dash/2/")).status == 403
     assert w.segment(m, base=m.base[:-3] + "x/").status == 401
     later = lambda: time.time() + 4.5  # noqa: E731  past its end, and past what clocks may differ by
-    w.daemon.front.dash.wall = w.at(m).segments.wall = later
+    w.daemon.handler.dash.wall = w.at(m).segments.wall = later
     assert w.segment(m).status == 401 and w.at(m).segments.refused["expired"] == 1
     p.refresh()
     assert p.manifest.base != m.base and w.segment(p.manifest).status == 200
@@ -140,11 +140,13 @@
 
 def test_a_key_rotated_under_a_viewing_refuses_nothing(world):
     w = world(rotate=1.2, ahead=0.5, token=2)
-    w.daemon.front.dash._renew = w.daemon.front.dash.load  # each manifest looks at the folder
+    w.daemon.handler.dash._reload_keys_if_due = (
+        w.daemon.handler.dash.load
+    )  # each manifest looks at the folder
     p = w.player()
     p.join()
     assert p.play(4.5) and set(p.statuses) == {200}
-    kids = {key.kid for key in w.daemon.front.dash.keys.ring.keys}
+    kids = {key.kid for key in w.daemon.handler.dash.keys.ring.keys}
     assert len(kids) >= 2 and sum(st.segments.fetched > 0 for st in w.streamers) == 1
 
 
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -18,8 +18,8 @@
 from herongap.accord.ledger import write
 from herongap.accord.shares import divided
 from herongap.cli import main
-from herongap.daemon.etcd import Feed
-from herongap.daemon.remembered import Remembered
+from herongap.daemon.etcd import StreamerRegistry
+from herongap.daemon.list_cache import ListCache
 from herongap.etcd import Change, Directory, Endpoints, Follower, Frames, Item, Membership, Need, Step, Told
 from herongap.etcd import messages as m
 from herongap.etcd.keys import Bad, changed_value, read_value, split
@@ -182,10 +182,10 @@
     with cluster() as etcd:
         w = Watcher(etcd)
         until(lambda: w.feed.state == "following")
-        good, w.feed.listed = w.feed.listed, lambda *_: 1 / 0
+        good, w.feed.on_list_change = w.feed.on_list_change, lambda *_: 1 / 0
         drain(etcd, "s0")
         until(lambda: w.feed.follower.counts["watches"] > 1)
-        w.feed.listed = good
+        w.feed.on_list_change = good
         drain(etcd, "s1")
         until(lambda: w.standing("s1") is StreamerStatus.LEAVING and w.feed.state == "following")
         told = {line.streamer: line.status for _, lines, _ in w.told for line in lines}
@@ -326,7 +326,7 @@
         quick = dict(endpoints=",".join(etcd.addresses), time_out=0.4, silent=2.0, ttl=2.0, keep=0.02)
         told = lambda *told: self.told.append(told), lambda *place: self.places.append(place)  # noqa: E731
         name, clock = f"h-{number}", time.monotonic
-        self.feed = Feed(Terms(**(quick | terms)), number, 2, 1, name, clock, *told, budgets)
+        self.feed = StreamerRegistry(Terms(**(quick | terms)), number, 2, 1, name, clock, *told, budgets)
         self.running = self.feed.start()
 
     def standing(self, name):
@@ -360,7 +360,7 @@
         drain(etcd, "s1")
         until(lambda: w.standing("s1") is StreamerStatus.LEAVING, 0.25)
         until(lambda: w.places and w.places[-1] == (0, 1))
-        assert w.feed.told()["controllers"] == {"0": "h-0"}
+        assert w.feed.status()["controllers"] == {"0": "h-0"}
         w.close()
         until(lambda: not any(b"controllers" in key for key in etcd.history.now_at), 1.0)
 
@@ -452,14 +452,14 @@
         etcd.members[0].start()
         until(lambda: w.feed.state == "following")
         w.close()
-    store = Remembered(str(tmp_path / "list"))
+    store = ListCache(str(tmp_path / "list"))
     store._open()
     with store.env.begin(write=True) as txn:
         data = bytes(txn.get(b"list"))
         txn.put(b"list", data[:-7])
     store.close()
-    assert Remembered(str(tmp_path / "list")).load() is None and (tmp_path / "list.bad-0").exists()
-    store = Remembered(str(tmp_path / "list"))
+    assert ListCache(str(tmp_path / "list")).load() is None and (tmp_path / "list.bad-0").exists()
+    store = ListCache(str(tmp_path / "list"))
     store._open()
     with store.env.begin(write=True) as txn:
         txn.put(b"list", b"0 " + data.split(b" ", 1)[1])
@@ -467,7 +467,7 @@
     assert store.load() is None and (tmp_path / "list.bad-1").exists()
     (tmp_path / "list").mkdir()
     (tmp_path / "list" / "data.mdb").write_bytes(b"no store" * 1000)
-    store = Remembered(str(tmp_path / "list"))
+    store = ListCache(str(tmp_path / "list"))
     assert store.load() is None and (tmp_path / "list.bad-2").exists()
     assert store.save(1, 2, {"a": Item(b"x", 1, 1)}) and store.load() == (1, 2, {"a": Item(b"x", 1, 1)})
     store.close()
@@ -623,8 +623,8 @@
 
 
 def test_a_front_starts_on_what_it_remembers_and_serves_its_list(tmp_path):
+    from herongap.daemon.http_connection import ConnectionPool
     from herongap.daemon.run import Daemon
-    from herongap.daemon.wire import Pool
     from herongap.ini import read_site
 
     with cluster() as etcd:
@@ -632,17 +632,19 @@
         file.write_text(file.read_text().replace("[front]", "[front]\nmetrics = 127.0.0.1:0"))
         daemon = Daemon(read_site(file))
         daemon.start()
-        until(lambda: daemon.feed.state == "following" and daemon.host.module.state.rank == 0)
-        told = json.loads(Pool(daemon.metrics.address, 1.0).call("GET", "/list", (), b"", 2.0).body)
+        until(lambda: daemon.registry.state == "following" and daemon.host.module.state.rank == 0)
+        told = json.loads(ConnectionPool(daemon.metrics.address, 1.0).call("GET", "/list", (), b"", 2.0).body)
         assert told["source"]["state"] == "following" and len(told["streamers"]) == 3
         assert told["source"]["place"] == [0, 1]
-        scraped = Pool(daemon.metrics.address, 1.0).call("GET", "/metrics", (), b"", 2.0).body.decode()
+        scraped = (
+            ConnectionPool(daemon.metrics.address, 1.0).call("GET", "/metrics", (), b"", 2.0).body.decode()
+        )
         assert 'herongap_list_state{state="following"} 1.0' in scraped and "herongap_has_rank 1.0" in scraped
         daemon.kill()
         etcd.members[0].stop()
         daemon = Daemon(read_site(file))
         daemon.start()
-        assert daemon.feed.state == "remembered" and len(daemon.host.statuses) == 3
+        assert daemon.registry.state == "remembered" and len(daemon.host.statuses) == 3
         assert daemon.host.module.state.rank is None, "nothing to cold streamers while others cannot be known"
         daemon.kill()
 
@@ -704,7 +706,7 @@
             member.withhold = 0.6
         for _ in range(8):
             shares[0].refused(time.monotonic())
-        until(lambda: sum(w.feed.budgets.unknown for w in all_) > 0, 20.0)
+        until(lambda: sum(w.feed.budgets.unknown_outcomes for w in all_) > 0, 20.0)
         for member in etcd.members:
             member.withhold = 0.0
         until(lambda: not any(s.ledger.doubt for s in shares), 20.0)
@@ -722,7 +724,7 @@
         until(short, 20.0)  # who runs short has what the dead one had
         # One leaves: it is gone at once.
         all_[1].feed.budgets.leave()
-        until(lambda: all_[1].feed.budgets.left and "1" not in parts(), 20.0)
+        until(lambda: all_[1].feed.budgets.released and "1" not in parts(), 20.0)
         for _, _, value in [e for e in etcd.history.events if e[1] == key.encode()]:
             d = divided(value["value"])
             assert sum(p.amount for p in d.parts.values()) <= d.whole
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -9,8 +9,8 @@
 from gevent import socket
 from loopback import World
 
+from herongap.daemon.http_connection import ClientConnection
 from herongap.daemon.run import Daemon
-from herongap.daemon.wire import Call
 from herongap.host import replay
 from herongap.host.viewing import ViewingState
 from herongap.http import kind_of
@@ -170,7 +170,7 @@
     w = world(streamers=1)
     v = w.viewer()
     assert v.post(2).status == 201
-    w.until(lambda: w.daemon.port.followers)
+    w.until(lambda: w.daemon.port.subscriptions)
     gevent.sleep(0.1)
     w.order("die")
     w.until(lambda: not w.daemon.host.viewings)
@@ -345,7 +345,7 @@
     stopping.get(timeout=4)
     assert not w.daemon.host.viewings and w.playing() == 0
     with pytest.raises(OSError):
-        Call(w.daemon.address, 0.2)
+        ClientConnection(w.daemon.address, 0.2)
 
 
 def test_a_killed_front_ends_what_it_held_and_answers_nothing_twice(world):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,8 +12,8 @@
 from loopback import INI
 
 from herongap.cli import main
-from herongap.daemon.feed import Watched
-from herongap.daemon.session import read_remote
+from herongap.daemon.file_watcher import FileWatcher
+from herongap.daemon.session import read_remote_session
 from herongap.host.liveness import (
     LOST_AFTER_SECONDS,
     PAID_TEST_TIMES,
@@ -108,7 +108,7 @@
 
     path = tmp_path / "f"
     path.write_text("[1]")
-    watched = Watched(str(path), changed, 1.0)
+    watched = FileWatcher(str(path), changed, 1.0)
     watched.read()
     watched.read()
     path.write_text("[1, 2")
@@ -217,7 +217,7 @@
 
 def test_a_streamers_links_lead_nowhere_else():
     def remote(location, *links):
-        return read_remote(
+        return read_remote_session(
             "s", "/whep/1", Reply(201, (("Location", location), *(("Link", v) for v in links)), b"sdp")
         )
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 from helpers import closing
 from loopback import World
 
-from herongap.daemon.journal import Busy, Journal
+from herongap.daemon.journal import Journal, JournalLockedError
 from herongap.daemon.run import Daemon
 from herongap.ini import read_site
 
@@ -138,18 +138,22 @@
 
 def test_two_processes_on_one_journal_and_bad_stores(tmp_path):
     one = Journal(str(tmp_path / "j"), "herongap-0-1")
-    with pytest.raises(Busy):
+    with pytest.raises(JournalLockedError):
         Journal(str(tmp_path / "j"), "herongap-0-2")
     with one.env.begin(write=True) as txn:
         txn.put(b"viewing/v1", b"torn")
     one.close()
     two = Journal(str(tmp_path / "j"), "herongap-0-2")
-    assert two.boot == 2 and not two.entries
+    assert two.incarnation == 2 and not two.entries
     with two.env.begin(write=True) as txn:
         txn.put(b"meta/format", b"0")
     two.close()
     three = Journal(str(tmp_path / "j"), "herongap-0-3")
-    assert (tmp_path / "j" / "viewings.bad-0").exists() and three.boot == 1 and three.name == "herongap-0-3"
+    assert (
+        (tmp_path / "j" / "viewings.bad-0").exists()
+        and three.incarnation == 1
+        and three.name == "herongap-0-3"
+    )
     three.close()
 
 
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -71,7 +71,11 @@
     held = [w.viewer(f"v{i}") for i in range(6)]
     assert all(v.post(2).status == 201 for v in held)
     port, known = w.daemon.port, w.daemon.host.module.state
-    w.until(lambda: len(port.followers) == 2 and all(f.liveness.last_heard for f in port.followers.values()))
+    w.until(
+        lambda: (
+            len(port.subscriptions) == 2 and all(f.liveness.last_heard for f in port.subscriptions.values())
+        )
+    )
     w.order("silent")  # their event streams stand, and say nothing for now
     gevent.sleep(1.2)  # until each look at one is a look at its silence
     clock.stopped += STOP
