--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -25,7 +25,7 @@
 from herongap.dash import Checker, Grant, mint, new_key, published
 from herongap.http import Reply
 from herongap.ini import read_site
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 from herongap.standins import Farm, Streamer, Viewer
 from herongap.standins.farm import Log
 from herongap.standins.player import Player
@@ -89,7 +89,9 @@
     b = Bench(near)
     p = b.player("p")
     p.join()
-    bare = Server(listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), Bounds())
+    bare = Server(
+        listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), ProcessLimits()
+    )
     pools = [Pool(b.daemon.address, 1.0), Pool(bare.address, 1.0)]
     ratios, key = [], new_key("k")
     for _ in range(5):
--- a/herongap/benchlink/__main__.py
+++ b/herongap/benchlink/__main__.py
@@ -2,9 +2,9 @@
 
 import sys
 
-from herongap.benchlink.link import Link, Malformed
+from herongap.benchlink.adapter import BenchAdapter, MalformedInputError
 
 try:
-    Link(sys.stdout.buffer).serve(sys.stdin.buffer)
-except Malformed as fault:
+    BenchAdapter(sys.stdout.buffer).serve(sys.stdin.buffer)
+except MalformedInputError as fault:
     sys.exit(f"benchlink: {fault}")
--- a/herongap/benchlink/link.py
+++ b/herongap/benchlink/adapter.py
@@ -11,7 +11,7 @@
 KINDS = {"Partial": "changes", "Complete": "whole", "Persisted": "remembered", "Error": "failed"}
 
 
-class Malformed(Unusable):
+class MalformedInputError(Unusable):
     """Something on the wire that cannot be read."""
 
     advice = "see what writes to this process; the adapter ends"
@@ -54,7 +54,7 @@
 }
 
 
-class Link:
+class BenchAdapter:
     """All instances of one process; they share nothing but this reader."""
 
     def __init__(self, out):
@@ -82,7 +82,7 @@
                     call = self.read(name, f)
             except (KeyError, TypeError, ValueError, AttributeError) as fault:
                 text = line[:200].decode(errors="replace").strip()
-                raise Malformed(f"cannot read {text!r}: {fault!r}") from fault
+                raise MalformedInputError(f"cannot read {text!r}: {fault!r}") from fault
             if name not in ("Turn", "YourTurn", "List"):
                 self.tell(f["I"], name, call, touched, replies)
 
@@ -92,7 +92,7 @@
             self.lists[f["RosterId"]] = f["Elements"], {}
             return None
         if name not in READERS and name not in ("Spawn", "Retire", "PeersKnown", "WorkItem", "Handover"):
-            raise Malformed(f"unknown message {name!r}")
+            raise MalformedInputError(f"unknown message {name!r}")
         who = f["I"]
         if name == "Spawn":
             info = f["Conf"]["FamilyInfo"]
@@ -101,7 +101,7 @@
         if name == "Retire":
             return None
         if who not in self.hosted:
-            raise Malformed(f"{who!r} was never started")
+            raise MalformedInputError(f"{who!r} was never started")
         if name == "WorkItem":
             return ("asked", codec.asked(f, self.shapes[who][0]))
         if name == "Handover":
--- a/herongap/daemon/door.py
+++ b/herongap/daemon/door.py
@@ -21,8 +21,8 @@
 from herongap.host import Host, RepeatDetector, RepeatMatch
 from herongap.http import Reply, Request, bearer, problem
 from herongap.ini import Catalogue, Site
-from herongap.intake import Intake
 from herongap.interface import EndReason, ViewingRequest
+from herongap.overload import OverloadGuard
 
 log = structlog.get_logger()
 
@@ -47,13 +47,13 @@
 
 
 class Door:
-    """The shared part of all fronts. `host` and `port` are one controller's; `intake` bounds what the process
-    takes on.
+    """The shared part of all fronts. `host` and `port` are one controller's; `overload_guard` bounds what the
+    process takes on.
     """
 
-    def __init__(self, site: Site, host: Host, port: Streamers, intake: Intake, catalogue: Catalogue,
-                 clock=time.monotonic):  # fmt: skip
-        self.site, self.host, self.port, self.intake = site, host, port, intake
+    def __init__(self, site: Site, host: Host, port: Streamers, overload_guard: OverloadGuard,
+                 catalogue: Catalogue, clock=time.monotonic):  # fmt: skip
+        self.site, self.host, self.port, self.overload_guard = site, host, port, overload_guard
         self.catalogue, self.clock = catalogue, clock
         self.repeats = RepeatDetector(site.front.remember, 100_000)
         self.packages = {p.name: p for p in site.charter.packages}
@@ -92,7 +92,7 @@
 
     def knock(self, protocol: str, title: str, request: Request) -> tuple | Reply:
         """The owner, the package and the holders of a request for a title, or the reply that refuses it."""
-        if self.intake.swamped():
+        if self.overload_guard.is_overloaded():
             return problem("overloaded", headers=[("Retry-After", "1")])
         if isinstance(owner := self.caller(request), Reply):
             return owner
@@ -115,7 +115,7 @@
             return problem("session-over")
         if again is RepeatMatch.CONFLICT:
             return problem("key-reused")
-        if refusal := self.intake.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
+        if refusal := self.overload_guard.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
             kind, come_back = refusal
             return problem(kind, headers=[("Retry-After", str(math.ceil(come_back)))] if come_back else ())
         return self._await(self._take(wish, peer), peer)
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -24,9 +24,9 @@
 from herongap.host import Host, Recorder, ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini import Site, read_catalogue, read_list
-from herongap.intake import Intake
 from herongap.interface import StreamerEntry
 from herongap.observe.metrics import TEXT, Figures
+from herongap.overload import OverloadGuard
 from herongap.rules import Controller
 
 LOOK = 0.05  # seconds between two looks at how late the process is
@@ -45,7 +45,7 @@
         if self.journal:
             # What it left at streamers is still its own.
             self.name = self.journal.name
-        self.intake = Intake(site.bounds)
+        self.overload_guard = OverloadGuard(site.bounds)
         targets = {name: getattr(site.streamers, name) for name in ("whep", "whip", "dash")}
         self.port = Streamers(self.name, site.connect, targets, clock)
         self.port.journal = self.journal
@@ -76,7 +76,7 @@
         self.front: Front | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
-        self._figures = Figures(self.host, self.intake, self.feed)
+        self._figures = Figures(self.host, self.overload_guard, self.feed)
         self._greenlets: list = []
         self.stopped = Event()
 
@@ -90,7 +90,7 @@
         if self.list:
             self.list.read()
         site = self.site
-        self.door = Door(site, self.host, self.port, self.intake, self.catalogue, self.clock)
+        self.door = Door(site, self.host, self.port, self.overload_guard, self.catalogue, self.clock)
         dash = Dash(site.dash, self.door) if site.dash else None
         if dash:
             dash.load()
@@ -99,7 +99,7 @@
         if recovery:
             recovery.begin()
         self.server = Server(
-            listen(read_address(site.front.listen)), self.front.handle, site.bounds, self.intake
+            listen(read_address(site.front.listen)), self.front.handle, site.bounds, self.overload_guard
         )
         if site.front.metrics:
             self.metrics = Server(listen(read_address(site.front.metrics)), self._scraped, site.bounds)
@@ -117,7 +117,7 @@
         """Take no new viewing, answer every one that was taken, end those that play, close; in bounded
         time.
         """
-        self.intake.stopping = True
+        self.overload_guard.stopping = True
         if self.whispers:
             self.whispers.leave()
         until = self.clock() + self.site.front.stop_within
@@ -221,7 +221,7 @@
         while True:
             due = self.clock() + LOOK
             gevent.sleep(LOOK)
-            self.intake.lagged(self.clock() - due)
+            self.overload_guard.record_lag(self.clock() - due)
 
     def _beat(self) -> None:
         while True:
--- a/herongap/daemon/wire.py
+++ b/herongap/daemon/wire.py
@@ -19,7 +19,7 @@
 from herongap.daemon.errors import Hung
 from herongap.daemon.listen import Address
 from herongap.http import Reply, Request, problem
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 
 
 class Peer:
@@ -58,7 +58,9 @@
         return done.is_set()
 
 
-def serve(sock: socket.socket, name: str, handle: Callable[[Request, Peer], Reply], bounds: Bounds) -> None:
+def serve(
+    sock: socket.socket, name: str, handle: Callable[[Request, Peer], Reply], bounds: ProcessLimits
+) -> None:
     """Serve one connection until it ends. `handle` may block, and may raise: that is answered with 500."""
     sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=bounds.header)
@@ -355,9 +357,18 @@
     """Accepts connections and serves each in a greenlet of its own."""
 
     def __init__(
-        self, listener: socket.socket, handle: Callable[[Request, Peer], Reply], bounds: Bounds, intake=None
+        self,
+        listener: socket.socket,
+        handle: Callable[[Request, Peer], Reply],
+        bounds: ProcessLimits,
+        overload_guard=None,
     ):
-        self.listener, self.handle, self.bounds, self.intake = listener, handle, bounds, intake
+        self.listener, self.handle, self.bounds, self.overload_guard = (
+            listener,
+            handle,
+            bounds,
+            overload_guard,
+        )
         self.address: Address = listener.getsockname()
         self.open: set = set()
         self._accepting = gevent.spawn(self._accept)
@@ -373,7 +384,7 @@
                 get_hub().handle_error(self, *_exc(fault))
                 gevent.sleep(0.1)
                 continue
-            if self.intake and not self.intake.connect(peer[0]):
+            if self.overload_guard and not self.overload_guard.connect(peer[0]):
                 gevent.spawn(self._turn_away, sock)
                 continue
             self.open.add(sock)
@@ -384,8 +395,8 @@
             serve(sock, name, self.handle, self.bounds)
         finally:
             self.open.discard(sock)
-            if self.intake:
-                self.intake.disconnect(name)
+            if self.overload_guard:
+                self.overload_guard.disconnect(name)
 
     def _turn_away(self, sock) -> None:
         conn = h11.Connection(h11.SERVER)
--- a/herongap/ini/parts.py
+++ b/herongap/ini/parts.py
@@ -6,7 +6,7 @@
 from pydantic import AfterValidator, BaseModel, BeforeValidator, ConfigDict, Field
 
 from herongap.errors import Unusable
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 
 
 class BadValue(Unusable):
@@ -212,21 +212,21 @@
 
 
 class Limits(Part):
-    """The keys are those of `herongap.intake.Bounds`."""
-
-    connections: Annotated[int, Field(ge=1)] = Bounds().connections
-    connections_a_peer: Annotated[int, Field(ge=1)] = Bounds().connections_a_peer
-    setting_up: Annotated[int, Field(ge=1)] = Bounds().setting_up
-    held: Annotated[int, Field(ge=1)] = Bounds().held
-    pace: Rate = Bounds().pace
-    burst: Annotated[float, Field(ge=1)] = Bounds().burst
-    header: Annotated[int, Field(ge=1024)] = Bounds().header
-    body: Annotated[int, Field(ge=1024)] = Bounds().body
-    header_seconds: Annotated[float, Field(gt=0)] = Bounds().header_seconds
-    body_seconds: Annotated[float, Field(gt=0)] = Bounds().body_seconds
-    idle_seconds: Annotated[float, Field(gt=0)] = Bounds().idle_seconds
-    write_seconds: Annotated[float, Field(gt=0)] = Bounds().write_seconds
-    lag: Annotated[float, Field(gt=0)] = Bounds().lag
+    """The keys are those of `herongap.overload.ProcessLimits`."""
+
+    connections: Annotated[int, Field(ge=1)] = ProcessLimits().connections
+    connections_a_peer: Annotated[int, Field(ge=1)] = ProcessLimits().connections_a_peer
+    setting_up: Annotated[int, Field(ge=1)] = ProcessLimits().setting_up
+    held: Annotated[int, Field(ge=1)] = ProcessLimits().held
+    pace: Rate = ProcessLimits().pace
+    burst: Annotated[float, Field(ge=1)] = ProcessLimits().burst
+    header: Annotated[int, Field(ge=1024)] = ProcessLimits().header
+    body: Annotated[int, Field(ge=1024)] = ProcessLimits().body
+    header_seconds: Annotated[float, Field(gt=0)] = ProcessLimits().header_seconds
+    body_seconds: Annotated[float, Field(gt=0)] = ProcessLimits().body_seconds
+    idle_seconds: Annotated[float, Field(gt=0)] = ProcessLimits().idle_seconds
+    write_seconds: Annotated[float, Field(gt=0)] = ProcessLimits().write_seconds
+    lag: Annotated[float, Field(gt=0)] = ProcessLimits().lag
 
 
 ONCE = {
--- a/herongap/ini/site.py
+++ b/herongap/ini/site.py
@@ -25,8 +25,8 @@
     Token,
     WholeTerms,
 )
-from herongap.intake import Bounds
 from herongap.interface import BudgetScope, DeploymentConfig, FleetBudget, Package, RepeatSafety, RepeatScope
+from herongap.overload import ProcessLimits
 
 
 class Faults(Unusable):
@@ -53,7 +53,7 @@
     gossip: GossipPart | None
     catalogue: CatalogueFile
     connect: float
-    bounds: Bounds
+    bounds: ProcessLimits
 
 
 def read_site(path: Path) -> Site:
@@ -218,5 +218,5 @@
         gossip=parts.get("gossip"),
         catalogue=parts["catalogue"].model_copy(update={"file": str(near / parts["catalogue"].file)}),
         connect=tune_ins.connect,
-        bounds=Bounds(**parts["limits"].model_dump()),
+        bounds=ProcessLimits(**parts["limits"].model_dump()),
     )
--- a/herongap/limiter.py
+++ b/herongap/limiter.py
@@ -50,11 +50,11 @@
         self.half: dict[Hashable, float] = {}
         self.behind = 0.0
 
-    def lagged(self, seconds: float) -> None:
+    def record_lag(self, seconds: float) -> None:
         """How late the process came to a thing it had set a time for: the worst counts, and fades."""
         self.behind = max(seconds, 0.7 * self.behind)
 
-    def swamped(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether the process is so late that new set-ups would only make those late that it has taken."""
         return self.behind > LAG
 
--- a/herongap/node/run.py
+++ b/herongap/node/run.py
@@ -146,7 +146,7 @@
         while True:
             due = self.clock() + LOOK
             gevent.sleep(LOOK)
-            self.viewers.limiter.lagged(self.clock() - due)
+            self.viewers.limiter.record_lag(self.clock() - due)
 
     def _tend(self) -> None:
         told = self.clock()
--- a/herongap/node/viewers.py
+++ b/herongap/node/viewers.py
@@ -55,7 +55,7 @@
                 if listener.closed:
                     return
                 # Out of descriptors: those that are held go on, and accepting is tried again.
-                log.error("not accepted", cause=str(fault))
+                log.error("cannot accept connections", cause=str(fault))
                 gevent.sleep(0.1)
                 continue
             try:
@@ -181,7 +181,7 @@
             conn.send(messages.down(m.ref, messages.FAILED))
             return
         self._sound(conn)
-        if self.shutting_down or self.limiter.swamped():
+        if self.shutting_down or self.limiter.is_overloaded():
             conn.send(messages.down(m.ref, messages.BUSY, self.launch.charter.come_back))
             return
         now = self.clock()
--- a/herongap/observe/metrics.py
+++ b/herongap/observe/metrics.py
@@ -10,12 +10,12 @@
 
 
 class Figures:
-    """Reads a host's and an intake's own books; `host`, `intake` and `feed` (None without etcd) are those of
-    a daemon.
+    """Reads a host's and an overload guard's own books; `host`, `overload_guard` and `feed` (None without
+    etcd) are those of a daemon.
     """
 
-    def __init__(self, host, intake, feed=None):
-        self.host, self.intake, self.feed = host, intake, feed
+    def __init__(self, host, overload_guard, feed=None):
+        self.host, self.overload_guard, self.feed = host, overload_guard, feed
         self.registry = CollectorRegistry()
         self.registry.register(self)
 
@@ -39,15 +39,19 @@
         refused = CounterMetricFamily(
             "herongap_turned_away", "Requests not taken, by cause", labels=["cause"]
         )
-        for cause, count in sorted(self.intake.turned_away.items()):
+        for cause, count in sorted(self.overload_guard.rejected.items()):
             refused.add_metric([cause], count)
         yield refused
         held = GaugeMetricFamily("herongap_held", "Viewings held now, by state", labels=["state"])
         for state, count in sorted(Counter(life.state.value for life in self.host.viewings.values()).items()):
             held.add_metric([state], count)
         yield held
-        yield GaugeMetricFamily("herongap_connections", "Connections of clients", value=self.intake.total)
-        yield GaugeMetricFamily("herongap_lag_seconds", "How late the process is", value=self.intake.behind)
+        yield GaugeMetricFamily(
+            "herongap_connections", "Connections of clients", value=self.overload_guard.open_connections
+        )
+        yield GaugeMetricFamily(
+            "herongap_lag_seconds", "How late the process is", value=self.overload_guard.lag
+        )
         listed = Counter(standing.name.lower() for standing in self.host.statuses.values())
         streamers = GaugeMetricFamily(
             "herongap_streamers", "Streamers listed, by standing", labels=["standing"]
--- a/herongap/intake.py
+++ b/herongap/overload.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 
-class Bounds(NamedTuple):
+class ProcessLimits(NamedTuple):
     """The limits of one process. Sizes in bytes, times in seconds, `pace` in requests a second."""
 
     connections: int = 4000
@@ -26,48 +26,51 @@
     lag: float = 0.25
 
 
-class Intake:
+class OverloadGuard:
     """The state behind the limits: who is connected, who asked lately, how far behind the process is."""
 
-    PEERS = 10000  # peers whose pace is remembered; the longest idle is forgotten first
+    MAX_TRACKED_PEERS = 10000  # peers whose pace is remembered; the longest idle is forgotten first
 
-    def __init__(self, bounds: Bounds):
-        self.bounds = bounds
-        self.connected: Counter[str] = Counter()
-        self.total = 0
-        self.buckets: OrderedDict[str, tuple[float, float]] = OrderedDict()
-        self.behind, self.stopping = 0.0, False
-        self.turned_away: Counter[str] = Counter()
+    def __init__(self, limits: ProcessLimits):
+        self.limits = limits
+        self.connections_by_peer: Counter[str] = Counter()
+        self.open_connections = 0
+        self.token_buckets: OrderedDict[str, tuple[float, float]] = OrderedDict()
+        self.lag, self.stopping = 0.0, False
+        self.rejected: Counter[str] = Counter()
 
     def connect(self, peer: str) -> bool:
         """Whether one more connection of this peer is taken; each that is must be told to `disconnect`."""
-        if self.total >= self.bounds.connections or self.connected[peer] >= self.bounds.connections_a_peer:
-            self.turned_away["connection"] += 1
+        if (
+            self.open_connections >= self.limits.connections
+            or self.connections_by_peer[peer] >= self.limits.connections_a_peer
+        ):
+            self.rejected["connection"] += 1
             return False
-        self.connected[peer] += 1
-        self.total += 1
+        self.connections_by_peer[peer] += 1
+        self.open_connections += 1
         return True
 
     def disconnect(self, peer: str) -> None:
-        self.total -= 1
-        self.connected[peer] -= 1
-        if not self.connected[peer]:
-            del self.connected[peer]
+        self.open_connections -= 1
+        self.connections_by_peer[peer] -= 1
+        if not self.connections_by_peer[peer]:
+            del self.connections_by_peer[peer]
 
-    def lagged(self, seconds: float) -> None:
+    def record_lag(self, seconds: float) -> None:
         """How late the process came to a thing it had set a time for, smoothed over some of them.
 
         A process that is late answers late: viewings taken now would be lost to their patience.
         """
-        self.behind += 0.3 * (seconds - self.behind)
+        self.lag += 0.3 * (seconds - self.lag)
 
-    def swamped(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether the process is so late that even reading offers would cost those that it has taken.
 
         Asked before anything of a request is looked at: a refusal must cost next to nothing.
         """
-        if self.behind > self.bounds.lag:
-            self.turned_away["overloaded"] += 1
+        if self.lag > self.limits.lag:
+            self.rejected["overloaded"] += 1
             return True
         return False
 
@@ -77,19 +80,19 @@
         """
         verdict = self._admit(now, peer, setting_up, held)
         if verdict:
-            self.turned_away[verdict[0]] += 1
+            self.rejected[verdict[0]] += 1
         return verdict
 
     def _admit(self, now: float, peer: str, setting_up: int, held: int) -> tuple[str, float] | None:
-        b = self.bounds
+        b = self.limits
         if self.stopping:
             return "stopping", 0.0
-        if setting_up >= b.setting_up or held >= b.held or self.behind > b.lag:
+        if setting_up >= b.setting_up or held >= b.held or self.lag > b.lag:
             return "overloaded", 1.0
-        left, at = self.buckets.pop(peer, (b.burst, now))
+        left, at = self.token_buckets.pop(peer, (b.burst, now))
         left = min(b.burst, left + (now - at) * b.pace)
         taken = left >= 1
-        self.buckets[peer] = left - taken, now
-        if len(self.buckets) > self.PEERS:
-            self.buckets.popitem(last=False)
+        self.token_buckets[peer] = left - taken, now
+        if len(self.token_buckets) > self.MAX_TRACKED_PEERS:
+            self.token_buckets.popitem(last=False)
         return None if taken else ("too-fast", (1 - left) / b.pace)
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -19,12 +19,12 @@
 from herongap.daemon.wire import Peer, Server
 from herongap.etcd.messages import end_of
 from herongap.http import Reply, Request
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 from herongap.standins.errors import BadBase64
 
 FRAGMENT = 64  # events of one message; etcd cuts at 1.5 MB
 ROOM = 128  # revisions that one message carries at most
-BOUNDS = Bounds(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
+BOUNDS = ProcessLimits(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
 
 
 class History:
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -14,8 +14,8 @@
 from herongap.daemon.wire import Hung, Peer, Server
 from herongap.fleet.machine import Machine, Session
 from herongap.http import SDP, Reply, Request, link, problem
-from herongap.intake import Bounds
 from herongap.orca import HEADER, write_load
+from herongap.overload import ProcessLimits
 from herongap.sdp import BadSdp, Endpoint, answer
 from herongap.standins import stun
 from herongap.standins.segments import Segments
@@ -65,7 +65,7 @@
         """Start the process: listen for HTTP, and for consent on UDP of the same address."""
         listener = listen(self.address)
         self.address = listener.getsockname()
-        self.server = Server(listener, self.handle, Bounds(idle_seconds=120.0, body=1 << 20))
+        self.server = Server(listener, self.handle, ProcessLimits(idle_seconds=120.0, body=1 << 20))
         self.media = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.media.bind(("127.0.0.1", 0))
         self.boot += 1
--- a/tests/node_world.py
+++ b/tests/node_world.py
@@ -48,7 +48,7 @@
     """A connection of JSON lines, read by a greenlet; `got` has all that came."""
 
     def __init__(self, sock):
-        self.sock, self.got, self.ended = sock, [], False
+        self.sock, self.messages, self.ended = sock, [], False
         gevent.spawn(self._read)
 
     def _read(self):
@@ -56,19 +56,19 @@
         try:
             while data := self.sock.recv(65536):
                 *lines, rest = (rest + data).split(b"\n")
-                self.got += [json.loads(line) for line in lines if line]
+                self.messages += [json.loads(line) for line in lines if line]
         except OSError:
             pass
         self.ended = True
 
-    def say(self, **message):
-        self.raw(json.dumps({"f": {}, **message}).encode() + b"\n")
+    def send(self, **message):
+        self.send_raw(json.dumps({"f": {}, **message}).encode() + b"\n")
 
-    def raw(self, data: bytes):
+    def send_raw(self, data: bytes):
         self.sock.sendall(data)
 
-    def of(self, t: str, ref: str | None = None) -> list[dict]:
-        return [m for m in self.got if m["t"] == t and ref in (None, m["ref"])]
+    def received(self, t: str, ref: str | None = None) -> list[dict]:
+        return [m for m in self.messages if m["t"] == t and ref in (None, m["ref"])]
 
     def close(self):
         self.sock.close()
@@ -80,7 +80,7 @@
     def __init__(self, address=("127.0.0.1", 0)):
         self.listener = listen(address)
         self.address = self.listener.getsockname()
-        self.peers, self.does, self.news = [], self.plays, []
+        self.peers, self.on_set_up, self.set_ups = [], self.play, []
         self._greenlet = gevent.spawn(self._accept)
 
     def _accept(self):
@@ -95,23 +95,23 @@
 
     def _serve(self, peer):
         seen = 0
-        while not (peer.ended and seen == len(peer.got)):
-            for m in peer.got[seen:]:
+        while not (peer.ended and seen == len(peer.messages)):
+            for m in peer.messages[seen:]:
                 seen += 1
                 if m["t"] == "hb":
-                    peer.say(t="hb_ok", ref=m["ref"], c=1)
+                    peer.send(t="hb_ok", ref=m["ref"], c=1)
                 elif m["t"] == "new":
-                    self.news.append(m)
-                    self.does(peer, m)
+                    self.set_ups.append(m)
+                    self.on_set_up(peer, m)
             gevent.sleep(0.002)
 
-    def plays(self, peer, m):
-        peer.say(t="up", ref=m["ref"], d="answer to " + m["ref"])
+    def play(self, peer, m):
+        peer.send(t="up", ref=m["ref"], d="answer to " + m["ref"])
 
-    def heard(self, t: str, ref: str) -> int:
-        return sum(len(peer.of(t, ref)) for peer in self.peers)
+    def received_count(self, t: str, ref: str) -> int:
+        return sum(len(peer.received(t, ref)) for peer in self.peers)
 
-    def die(self):
+    def kill(self):
         """As a process that is killed: nobody listens, its connections are reset."""
         self.listener.close()
         self._greenlet.kill(block=False)
@@ -129,7 +129,7 @@
     """Tells `world.streamers`; `spoil` may change an answer's bytes, None drops it."""
 
     def __init__(self, world):
-        self.world, self.spoil, self.asked, self.serial = world, lambda data: data, 0, 1
+        self.world, self.filter_answer, self.query_count, self.serial = world, lambda data: data, 0, 1
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.address = self.sock.getsockname()
@@ -141,8 +141,8 @@
                 data, peer = self.sock.recvfrom(4096)
             except OSError:
                 return
-            self.asked += 1
-            out = self.spoil(self.answer(data))
+            self.query_count += 1
+            out = self.filter_answer(self.answer(data))
             if out is not None:
                 self.sock.sendto(out, peer)
 
@@ -180,7 +180,7 @@
         self.settings, self.sockets = SETTINGS | settings, sockets
         self.peers, self.clock = [], clock
         self.configure(self.resolver.address)
-        self.next = 0
+        self.next_ref = 0
         self.start()
 
     def start(self):
@@ -205,12 +205,12 @@
         self.peers.append(Peer(socket.create_connection(self.address)))
         return self.peers[-1]
 
-    def ask(self, peer, ref=None, d=OFFER, **fields) -> str:
-        self.next += 1
-        ref = ref or f"{self.next:016x}"
+    def request_viewing(self, peer, ref=None, d=OFFER, **fields) -> str:
+        self.next_ref += 1
+        ref = ref or f"{self.next_ref:016x}"
         f = {"class": "standard", "left": "1500", "tenant": "acme", "key": "7f3a9c21e0b4d655",
              "extras": "home:0;copies:3;top:2;viewer:00000000b4d65521"}  # fmt: skip
-        peer.say(t="new", ref=ref, f={k: v for k, v in (f | fields).items() if v is not None}, d=d)
+        peer.send(t="new", ref=ref, f={k: v for k, v in (f | fields).items() if v is not None}, d=d)
         return ref
 
     def until(self, true, seconds=3.0):
@@ -234,9 +234,9 @@
             stdout=self.log,
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.sockets, self.sockets)),
         )
-        until(lambda: self.says("ready"), 30.0)
+        until(lambda: self.log_lines("ready"), 30.0)
 
-    def says(self, event: str) -> list[dict]:
+    def log_lines(self, event: str) -> list[dict]:
         """The lines of its log with that event."""
         lines = self.path.with_name("log").read_text().splitlines()
         return [told for told in map(json.loads, lines) if told["event"] == event]
--- a/tests/plain_peers.py
+++ b/tests/plain_peers.py
@@ -12,7 +12,7 @@
 from node_world import OFFER, SETTINGS
 
 # Nothing is due for long: what happens is the test's to say.
-SLOW = dict(
+LONG_DEADLINES = dict(
     Grades=[{**grade, "Aim": 20000.0, "Deadline": 40000.0} for grade in SETTINGS["Grades"]],
     Allowed=SETTINGS["Allowed"] | {"ConnectTimeout": 5000.0},
 )
@@ -30,46 +30,46 @@
     return line(t="new", ref=ref, d=OFFER, f=f)
 
 
-def handed(w, peer, name, ref="0123456789abcdef"):
+def hand_over(w, peer, name, ref="0123456789abcdef"):
     """A viewing that plays at that streamer already, told as to a controller that has just started."""
-    w.ask(peer, ref, left="9007199254740991", d="",
+    w.request_viewing(peer, ref, left="9007199254740991", d="",
           extras=f"home:0;copies:3;top:2;viewer:00000000b4d65521;at:{name}")  # fmt: skip
 
 
-def busy(held: list):
+def hold_set_ups(held: list):
     """A streamer that keeps what it is asked until the test answers."""
     return lambda peer, m: held.append((peer, m))
 
 
-def all_busy(w) -> list:
+def hold_all_set_ups(w) -> list:
     """Every streamer keeps what it is asked: (peer, message) for each, in the order in which they came."""
     held = []
     for s in w.streamers.values():
-        s.does = busy(held)
+        s.on_set_up = hold_set_ups(held)
     return held
 
 
-def at_once(peer, **message):
+def send_immediately(peer, **message):
     """What a streamer of the test's says, written at once: no greenlet runs before."""
     peer.sock._sock.sendall(line(**message))
 
 
-class Plain:
+class PlainPeer:
     """A connection of JSON lines whose reads are the test's own. `small`: its system holds little for it."""
 
-    def __init__(self, address=None, sock=None, small=False):
+    def __init__(self, address=None, sock=None, small_buffer=False):
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        if small:
+        if small_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
         if address:
             self.sock.connect(address)
         self.sock.setblocking(False)
         self.data, self.ended = b"", False
 
-    def say(self, **message):
-        self.raw(line(**message))
+    def send(self, **message):
+        self.send_raw(line(**message))
 
-    def raw(self, data: bytes):
+    def send_raw(self, data: bytes):
         self.sock.sendall(data)
 
     def read(self) -> list[dict]:
@@ -83,10 +83,10 @@
                 self.ended = True
         return [json.loads(line) for line in self.data.split(b"\n")[:-1] if line]
 
-    def of(self, t: str, ref: str | None = None) -> list[dict]:
+    def received(self, t: str, ref: str | None = None) -> list[dict]:
         return [m for m in self.read() if m["t"] == t and ref in (None, m["ref"])]
 
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
         self.read()
         return self.ended
 
@@ -98,21 +98,21 @@
         self.sock.close()
 
 
-class Door:
+class ManualListener:
     """A streamer's listener that takes a connection when the test says so, and can be `full`: then the next
     one comes up about 1 s after there is room again, as its machine asks once more.
     """
 
-    def __init__(self, small=False):
+    def __init__(self, small_buffer=False):
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        if small:
+        if small_buffer:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.listen(0)
         self.address = self.sock.getsockname()
         self.fillers, self.peers = [], []
 
-    def fill(self):
+    def fill_backlog(self):
         while True:
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.settimeout(0.1)
@@ -122,7 +122,7 @@
             except OSError:
                 return
 
-    def empty(self):
+    def clear_backlog(self):
         """Make room, with whatever had come up of the fillers closed."""
         for filler in self.fillers:
             filler.close()
@@ -131,23 +131,23 @@
             while True:
                 self.sock.accept()[0].close()
 
-    def waits(self) -> bool:
+    def accept_if_waiting(self) -> bool:
         """Whether a connection waits to be taken; it is."""
         self.sock.setblocking(False)
         with suppress(BlockingIOError):
-            self.peers.append(Plain(sock=self.sock.accept()[0]))
+            self.peers.append(PlainPeer(sock=self.sock.accept()[0]))
             return True
         return False
 
-    def take(self, seconds=4.0) -> Plain:
+    def accept_blocking(self, seconds=4.0) -> PlainPeer:
         """The next connection that comes up. Nothing else runs meanwhile."""
         self.sock.settimeout(seconds)
-        self.peers.append(Plain(sock=self.sock.accept()[0]))
+        self.peers.append(PlainPeer(sock=self.sock.accept()[0]))
         return self.peers[-1]
 
-    def taken(self) -> Plain:
+    def wait_for_connection(self) -> PlainPeer:
         """The same, while everything runs on."""
-        until(self.waits)
+        until(self.accept_if_waiting)
         return self.peers[-1]
 
     def close(self):
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -441,7 +441,7 @@
 
 
 def test_the_platform_and_the_bench_load_nothing_of_it():
-    text = "import sys, herongap.node.run, herongap.benchlink.link\n"
+    text = "import sys, herongap.node.run, herongap.benchlink.adapter\n"
     text += "print([m for m in sys.modules if 'accord' in m or 'gossip' in m])"
     found = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -14,7 +14,7 @@
     viewing_request,
 )
 
-from herongap.benchlink.link import Link, Malformed
+from herongap.benchlink.adapter import BenchAdapter, MalformedInputError
 from herongap.interface import EndReason, LoadReport
 
 
@@ -232,14 +232,14 @@
 def test_the_adapter_names_what_it_cannot_read_and_ends():
     for line in (b"{not json", b'{"Nonsense":{"I":"a"}}', b'{"Spawn":{"I":"a","Seed":1,"Conf":{}}}'):
         out = io.BytesIO()
-        with pytest.raises(Malformed, match="cannot read"):
-            Link(out).serve([b'{"Turn":{"Moment":1.0}}', line])
+        with pytest.raises(MalformedInputError, match="cannot read"):
+            BenchAdapter(out).serve([b'{"Turn":{"Moment":1.0}}', line])
         assert out.getvalue() == b""
 
 
 def test_a_failure_inside_the_module_is_reported_on_the_wire():
     out = io.BytesIO()
-    link = Link(out)
+    link = BenchAdapter(out)
     link.hosted["a"] = None
     link.serve([b'{"Turn":{"Moment":1.0}}', b'{"Ring":{"I":"a","Ctx":"wake"}}', b'{"YourTurn":{}}'])
     assert out.getvalue().startswith(b'{"Panic": {"I": "a"') and out.getvalue().endswith(b'{"Ready":{}}\n')
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -328,7 +328,7 @@
     assert w.viewer("more").post(1).kind == "overloaded"
     for sock in idle:
         sock.close()
-    w.until(lambda: w.daemon.intake.total < 30)
+    w.until(lambda: w.daemon.overload_guard.open_connections < 30)
     assert held.delete() == 200
 
 
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -92,13 +92,13 @@
 
 def test_a_late_process_turns_away_until_it_has_been_in_time_for_a_while():
     limiter = ConnectionLimiter(9)
-    limiter.lagged(LAG / 2)
-    assert not limiter.swamped()
-    limiter.lagged(2 * LAG)
-    assert limiter.swamped()
+    limiter.record_lag(LAG / 2)
+    assert not limiter.is_overloaded()
+    limiter.record_lag(2 * LAG)
+    assert limiter.is_overloaded()
     for _ in range(4):
-        limiter.lagged(0.0)
-    assert not limiter.swamped()
+        limiter.record_lag(0.0)
+    assert not limiter.is_overloaded()
 
 
 def test_lines_of_one_kind_are_limited_and_what_was_left_out_is_counted():
--- a/tests/test_node_streamers.py
+++ b/tests/test_node_streamers.py
@@ -18,17 +18,17 @@
     v = w.viewer()
     extras = "home:0;copies:3;top:2;viewer:01;at:"
     at, gone = "s-00000001", "s-deadbeef"
-    first = w.ask(v, left="4294967", extras=extras + at)
-    w.ask(v, ref=first, left="4294967", extras=extras + at)  # those already held are passed over
-    lost = w.ask(v, left="4294967", extras=extras + gone)
-    w.until(lambda: v.of("down", lost))  # where it would play, nobody is
+    first = w.request_viewing(v, left="4294967", extras=extras + at)
+    w.request_viewing(v, ref=first, left="4294967", extras=extras + at)  # those already held are passed over
+    lost = w.request_viewing(v, left="4294967", extras=extras + gone)
+    w.until(lambda: v.received("down", lost))  # where it would play, nobody is
     w.until(lambda: w.streamers[at].peers)
     peer = w.streamers[at].peers[0]
-    peer.say(t="tell", ref=first, f={"note": "at_rung", "value": "2"})
+    peer.send(t="tell", ref=first, f={"note": "at_rung", "value": "2"})
     w.until(lambda: w.node.host.viewings[first].rung == 2)
-    peer.say(t="down", ref=first, c=16)
-    w.until(lambda: v.of("down", first))
-    assert not v.of("up") and not w.node.host.viewings
+    peer.send(t="down", ref=first, c=16)
+    w.until(lambda: v.received("down", first))
+    assert not v.received("up") and not w.node.host.viewings
 
 
 PATIENT = [dict(SETTINGS["Grades"][0], Aim=6000.0, Deadline=9000.0), SETTINGS["Grades"][1]]
@@ -38,13 +38,13 @@
     """Viewings whose set-ups were all open together, each on a connection; (peer, message) of each."""
     (s,) = w.streamers.values()
     waiting = []
-    s.does = lambda peer, m: waiting.append((peer, m))
+    s.on_set_up = lambda peer, m: waiting.append((peer, m))
     for i in range(number):
-        w.ask(viewer, left="8000")
+        w.request_viewing(viewer, left="8000")
         w.until(lambda: len(waiting) == i + 1)  # noqa: B023
     for peer, m in waiting:
-        s.plays(peer, m)
-    w.until(lambda: len(viewer.of("up")) == number)
+        s.play(peer, m)
+    w.until(lambda: len(viewer.received("up")) == number)
     return waiting
 
 
@@ -57,9 +57,9 @@
     for line in lines:
         line.spoke -= 60.0  # long idle: the next look lets two of them go
     for peer, m in waiting:
-        peer.say(t="down", ref=m["ref"], c=16)
+        peer.send(t="down", ref=m["ref"], c=16)
     w.node.port.tend()  # before anything of this has been read
-    w.until(lambda: len(v.of("down")) == 4, seconds=1.0)
+    w.until(lambda: len(v.received("down")) == 4, seconds=1.0)
 
 
 def test_a_connection_that_breaks_while_idle_is_replaced_where_viewings_play(world):
@@ -73,15 +73,15 @@
 def test_another_id_at_a_streamers_address_ends_what_played_there(world):
     w = world(streamers=2)
     v = w.viewer()
-    ref = w.ask(v)
-    w.until(lambda: v.of("up", ref))
+    ref = w.request_viewing(v)
+    w.until(lambda: v.received("up", ref))
     old = w.node.host.viewings[ref].streamer
     same = w.streamers.pop(old)
     w.streamers["s-00000009"] = same  # it answers tests all the while
     w.resolver.serial += 1
-    w.until(lambda: v.of("down", ref))
-    again = w.ask(v)
-    w.until(lambda: v.of("up", again))
+    w.until(lambda: v.received("down", ref))
+    again = w.request_viewing(v)
+    w.until(lambda: v.received("up", again))
     assert w.node.host.viewings[again].streamer != old
 
 
@@ -95,12 +95,12 @@
     v = w.viewer()
     refs = []
     for _ in range(20):
-        refs.append(w.ask(v))
+        refs.append(w.request_viewing(v))
         gevent.sleep(0.05)
-    w.until(lambda: len(v.of("up")) + len(v.of("down")) == 20)
+    w.until(lambda: len(v.received("up")) + len(v.received("down")) == 20)
     # 20 places over 12 s, at 0.4 of its warmth, 2.5 times: under two a second, for all controllers together.
-    assert len(w.streamers[sid].news) <= 2
-    assert all(m["c"] == 34 for m in v.of("down"))
+    assert len(w.streamers[sid].set_ups) <= 2
+    assert all(m["c"] == 34 for m in v.received("down"))
 
 
 def test_a_streamer_that_leaves_while_a_connection_to_it_comes_up_costs_nobody_an_answer(world):
@@ -114,7 +114,7 @@
 
     port._open = hangs
     v = w.viewer()
-    ref = w.ask(v)
+    ref = w.request_viewing(v)
     w.until(lambda: port.attempts)
     w.streamers.clear()
     w.resolver.serial = 2
@@ -122,7 +122,7 @@
     w.until(lambda: port.upstreams[name].gone)
     port.tend()
     assert name in port.upstreams  # its tune-in is on no line yet, and has to be called off
-    w.until(lambda: v.of("down", ref))
+    w.until(lambda: v.received("down", ref))
     port.tend()
     assert name not in port.upstreams
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -25,8 +25,8 @@
 )
 from herongap.http import Reply
 from herongap.ini import Faults, read_catalogue, read_list, read_site
-from herongap.intake import Bounds, Intake
 from herongap.interface import StreamerStatus
+from herongap.overload import OverloadGuard, ProcessLimits
 from herongap.standins import Viewer
 from herongap.standins.player import Player
 
@@ -120,30 +120,36 @@
 
 
 def test_intake_bounds_connections_set_ups_pace_and_lag():
-    intake = Intake(
-        Bounds(connections=3, connections_a_peer=2, setting_up=5, held=10, pace=10.0, burst=3.0, lag=0.5)
+    overload_guard = OverloadGuard(
+        ProcessLimits(
+            connections=3, connections_a_peer=2, setting_up=5, held=10, pace=10.0, burst=3.0, lag=0.5
+        )
+    )
+    assert [overload_guard.connect(p) for p in "aaabb"] == [True, True, False, True, False]
+    overload_guard.disconnect("a")
+    assert (
+        overload_guard.connect("b")
+        and overload_guard.open_connections == 3
+        and overload_guard.rejected["connection"] == 2
     )
-    assert [intake.connect(p) for p in "aaabb"] == [True, True, False, True, False]
-    intake.disconnect("a")
-    assert intake.connect("b") and intake.total == 3 and intake.turned_away["connection"] == 2
-    assert [intake.admit(0.0, "a", 0, 0) for _ in range(4)][:3] == [None] * 3
-    kind, wait = intake.admit(0.0, "a", 0, 0)
+    assert [overload_guard.admit(0.0, "a", 0, 0) for _ in range(4)][:3] == [None] * 3
+    kind, wait = overload_guard.admit(0.0, "a", 0, 0)
     assert kind == "too-fast" and 0 < wait <= 0.1
-    assert intake.admit(0.0, "b", 0, 0) is None, "one peer's pace is no other's"
-    assert intake.admit(0.11, "a", 0, 0) is None
-    assert intake.admit(9.0, "a", 5, 0)[0] == intake.admit(9.0, "a", 0, 10)[0] == "overloaded"
+    assert overload_guard.admit(0.0, "b", 0, 0) is None, "one peer's pace is no other's"
+    assert overload_guard.admit(0.11, "a", 0, 0) is None
+    assert overload_guard.admit(9.0, "a", 5, 0)[0] == overload_guard.admit(9.0, "a", 0, 10)[0] == "overloaded"
     for _ in range(20):
-        intake.lagged(2.0)
-    assert intake.admit(9.0, "a", 0, 0)[0] == "overloaded"
+        overload_guard.record_lag(2.0)
+    assert overload_guard.admit(9.0, "a", 0, 0)[0] == "overloaded"
     for _ in range(20):
-        intake.lagged(0.0)
-    assert intake.admit(9.0, "a", 0, 0) is None, "calm again"
-    intake.stopping = True
-    assert intake.admit(9.0, "a", 0, 0)[0] == "stopping"
-    intake.stopping = False
-    for n in range(intake.PEERS + 50):
-        intake.admit(10.0, f"p{n}", 0, 0)
-    assert len(intake.buckets) == intake.PEERS
+        overload_guard.record_lag(0.0)
+    assert overload_guard.admit(9.0, "a", 0, 0) is None, "calm again"
+    overload_guard.stopping = True
+    assert overload_guard.admit(9.0, "a", 0, 0)[0] == "stopping"
+    overload_guard.stopping = False
+    for n in range(overload_guard.MAX_TRACKED_PEERS + 50):
+        overload_guard.admit(10.0, f"p{n}", 0, 0)
+    assert len(overload_guard.token_buckets) == overload_guard.MAX_TRACKED_PEERS
 
 
 def test_tests_that_are_paid_for_are_few_and_still_tell_of_an_end_in_time():
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import closing
 from node_world import ProcessWorld
-from plain_peers import Plain
+from plain_peers import PlainPeer
 
 
 @pytest.fixture
@@ -19,30 +19,30 @@
 
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(world):
     w = world(streamers=2, sockets=128)
-    w.until(lambda: w.resolver.asked > 1)
-    w.resolver.spoil = lambda data: None
+    w.until(lambda: w.resolver.query_count > 1)
+    w.resolver.filter_answer = lambda data: None
     idle = []
     for i in range(300):  # all at once, and far more than there are descriptors
-        idle.append(Plain(w.address))
+        idle.append(PlainPeer(w.address))
         if i % 3:
-            idle[-1].say(t="hb", ref=f"{i:016x}", c=0)  # and two of three say something of use
+            idle[-1].send(t="hb", ref=f"{i:016x}", c=0)  # and two of three say something of use
     gevent.sleep(0.5)
-    client = Plain(w.address)
+    client = PlainPeer(w.address)
     for _ in range(3):
-        ref = w.ask(client)
-        w.until(lambda: client.of("up", ref))  # noqa: B023
+        ref = w.request_viewing(client)
+        w.until(lambda: client.received("up", ref))  # noqa: B023
     # What happened meanwhile is known as soon as discovery answers again.
     name, other = w.streamers
     w.draining.add(name)
     w.resolver.serial += 1
-    w.resolver.spoil = lambda data: data
-    w.until(lambda: w.says("list"), 1.5)
-    w.streamers[name].news.clear()
+    w.resolver.filter_answer = lambda data: data
+    w.until(lambda: w.log_lines("list"), 1.5)
+    w.streamers[name].set_ups.clear()
     for _ in range(3):
-        ref = w.ask(client)
-        w.until(lambda: client.of("up", ref))  # noqa: B023
-    assert len(client.of("up")) == 6 and not w.streamers[name].news
-    assert not w.says("not accepted") and not w.says("streamer not reached")
+        ref = w.request_viewing(client)
+        w.until(lambda: client.received("up", ref))  # noqa: B023
+    assert len(client.received("up")) == 6 and not w.streamers[name].set_ups
+    assert not w.log_lines("cannot accept connections") and not w.log_lines("streamer not reached")
     assert len(os.listdir(f"/proc/{w.process.pid}/fd")) < 128
     for peer in idle:
         peer.close()
@@ -59,28 +59,28 @@
     w = world()
 
     def plays_and_ends(peer, m):
-        peer.say(t="up", ref=m["ref"], d="d")
-        peer.say(t="down", ref=m["ref"], c=16)
+        peer.send(t="up", ref=m["ref"], d="d")
+        peer.send(t="down", ref=m["ref"], c=16)
 
     for s in w.streamers.values():
-        s.does = plays_and_ends
-    idle = [Plain(w.address) for _ in range(8)]
+        s.on_set_up = plays_and_ends
+    idle = [PlainPeer(w.address) for _ in range(8)]
     for client in idle:
-        ref = w.ask(client)
-        w.until(lambda: client.of("down", ref))  # noqa: B023
+        ref = w.request_viewing(client)
+        w.until(lambda: client.received("down", ref))  # noqa: B023
     os.kill(w.process.pid, signal.SIGTERM)
     gevent.sleep(0.4)
-    late = [Plain(w.address) for _ in range(8)]  # to the last moment at which new ones come
-    asked = [(client, w.ask(client)) for client in late]
+    late = [PlainPeer(w.address) for _ in range(8)]  # to the last moment at which new ones come
+    asked = [(client, w.request_viewing(client)) for client in late]
     gevent.sleep(0.15)
-    asked += [(client, w.ask(client)) for client in idle]  # and requests on open ones
+    asked += [(client, w.request_viewing(client)) for client in idle]  # and requests on open ones
     w.until(lambda: w.process.poll() is not None, 4.0)
-    assert w.process.returncode == 0 and w.says("stopped")[0]["left"] == 0
+    assert w.process.returncode == 0 and w.log_lines("stopped")[0]["left"] == 0
     for client, ref in asked:
-        assert client.gone()
-        served, ended = client.of("up", ref), client.of("down", ref)
+        assert client.is_closed()
+        served, ended = client.received("up", ref), client.received("down", ref)
         assert len(ended) == 1 and (served or ended[0]["c"] in (34, 42)), "one end each"
-    assert sum(bool(client.of("up", ref)) for client, ref in asked) > 3
+    assert sum(bool(client.received("up", ref)) for client, ref in asked) > 3
 
 
 def test_a_start_that_cannot_be_says_why_and_what_to_do(world):
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -13,7 +13,7 @@
 from helpers import closing
 from loopback import World as Front
 from node_world import World as Platform
-from plain_peers import SLOW, Plain, all_busy, at_once
+from plain_peers import LONG_DEADLINES, PlainPeer, hold_all_set_ups, send_immediately
 
 from herongap.interface import StreamerStatus
 from herongap.node.resolver import PATIENCE
@@ -48,21 +48,21 @@
     v = w.viewer()
     refs = []
     for _ in range(6):
-        refs.append(w.ask(v))
-        w.until(lambda: v.of("up", refs[-1]))
+        refs.append(w.request_viewing(v))
+        w.until(lambda: v.received("up", refs[-1]))
     assert all(w.node.host.playing_at(name) for name in w.streamers), "something plays at each"
     clock.stopped += STOP
     if said:  # its streamers have: that lies unread
         for s in w.streamers.values():
-            at_once(s.peers[0], t="hb_ok", ref="00", c=1)
+            send_immediately(s.peers[0], t="hb_ok", ref="00", c=1)
     gevent.sleep(1.0)  # several looks at what is silent
-    assert not v.of("down") and not v.of("shift") and set(refs) == set(w.node.host.viewings)
+    assert not v.received("down") and not v.received("shift") and set(refs) == set(w.node.host.viewings)
     known = w.node.host.module.state
     assert all(st.set_aside_until < clock() for st in known.streamers.values()), (
         "nobody is set aside for our own stop"
     )
-    again = w.ask(v)
-    w.until(lambda: v.of("up", again), 1.0)
+    again = w.request_viewing(v)
+    w.until(lambda: v.received("up", again), 1.0)
 
 
 def test_a_stopped_front_ends_none_of_what_plays_and_goes_on_placing(front):
@@ -85,15 +85,15 @@
 
 
 def test_an_answer_of_the_resolver_that_a_late_process_finds_unread_is_taken(platform):
-    w = platform(streamers=2, **SLOW)
-    held = all_busy(w)
+    w = platform(streamers=2, **LONG_DEADLINES)
+    held = hold_all_set_ups(w)
     resolver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     resolver.bind(("127.0.0.1", 0))
     resolver.setblocking(False)
-    client = Plain(w.address)
-    ref = w.ask(client, left="30000")
+    client = PlainPeer(w.address)
+    ref = w.request_viewing(client, left="30000")
     w.until(lambda: held)
-    (other,) = [name for name, s in w.streamers.items() if not s.news]
+    (other,) = [name for name, s in w.streamers.items() if not s.set_ups]
     w.node.resolver.address = resolver.getsockname()
     asked = []
 
@@ -106,9 +106,9 @@
     w.draining.add(other)
     w.resolver.serial += 1
     resolver.sendto(w.resolver.answer(asked[0][0]), asked[0][1])
-    at_once(held[0][0], t="down", ref=ref, c=34)  # so that it goes on to the other at once
+    send_immediately(held[0][0], t="down", ref=ref, c=34)  # so that it goes on to the other at once
     time.sleep(PATIENCE + 0.1)  # the process is late, and no other question is ever answered
     w.until(lambda: w.node.host.statuses[other] is StreamerStatus.LEAVING, 0.5)
     gevent.sleep(0.3)
-    assert not w.streamers[other].news
+    assert not w.streamers[other].set_ups
     resolver.close()
