--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -25,7 +25,7 @@
 from herongap.dash import TokenClaims, TokenVerifier, generate_key, mint, public_jwks
 from herongap.http import Reply
 from herongap.ini import read_site
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 from herongap.standins import Farm, Streamer, Viewer
 from herongap.standins.farm import Log
 from herongap.standins.player import Player
@@ -89,7 +89,9 @@
     b = Bench(near)
     p = b.player("p")
     p.join()
-    bare = Server(listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), Bounds())
+    bare = Server(
+        listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), ProcessLimits()
+    )
     pools = [ConnectionPool(b.daemon.address, 1.0), ConnectionPool(bare.address, 1.0)]
     ratios, key = [], generate_key("k")
     for _ in range(5):
