--- a/herongap/daemon/front.py
+++ b/herongap/daemon/request_handler.py
@@ -6,22 +6,22 @@
 import h11
 import structlog
 
-from herongap.daemon.dash import Dash
-from herongap.daemon.door import Door, Wish
+from herongap.daemon.dash import DashService
+from herongap.daemon.http_connection import Peer
 from herongap.daemon.session import Session
-from herongap.daemon.wire import Peer
+from herongap.daemon.session_service import SessionRequest, SessionService
 from herongap.host import ViewingState
-from herongap.http import SDP, Reply, Request, problem, wait_preferred
+from herongap.http import SDP, Reply, Request, preferred_wait, problem
 from herongap.sdp import Offer
-from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created, ice_links
+from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created_reply, ice_links
 
 log = structlog.get_logger()
 
 
-class Front:
+class RequestHandler:
     """Answers requests. What DASH is served by is None where it is not."""
 
-    def __init__(self, door: Door, dash: Dash | None = None):
+    def __init__(self, door: SessionService, dash: DashService | None = None):
         self.door, self.dash = door, dash
         self.site, self.host, self.port, self.clock = door.site, door.host, door.port, door.clock
         self.secrets: dict[str, Session] = {}
@@ -61,10 +61,10 @@
         if isinstance(offer, Reply):
             return offer
         key, digest = self._identity(request, offer, owner)
-        patience = min(self.site.patience[package], wait_preferred(request) or math.inf)
+        patience = min(self.site.patience[package], preferred_wait(request) or math.inf)
         top = request.query.get("top", "")
         session = self.door.enter(
-            Wish(
+            SessionRequest(
                 protocol,
                 title,
                 package,
@@ -84,7 +84,7 @@
             return session
         self.secrets[session.secret] = session
         links = ice_links(self.site.front.ice_servers)
-        return created(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
+        return created_reply(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
 
     def _identity(self, request: Request, offer: Offer, owner: str | None) -> tuple[tuple, str]:
         """What makes two requests one viewing, and what must then be equal in both."""
--- a/herongap/daemon/door.py
+++ b/herongap/daemon/session_service.py
@@ -1,7 +1,7 @@
 """What all fronts of one controller share: who asks, whether it is a viewing known already, its one answer.
 
-A front reads its protocol's request into a `Wish`; the door takes it to the host once, however often it
-comes, and gives the session that plays or the reply that refuses.
+A protocol handler reads its request into a `SessionRequest`; the service takes it to the host once, however
+often it comes, and gives the session that plays or the reply that refuses.
 """
 
 import hmac
@@ -15,19 +15,19 @@
 import gevent
 import structlog
 
+from herongap.daemon.http_connection import Peer, PeerDisconnectedError
 from herongap.daemon.session import Session
-from herongap.daemon.streamers import Streamers
-from herongap.daemon.wire import Hung, Peer
+from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, RepeatDetector, RepeatMatch
-from herongap.http import Reply, Request, bearer, problem
+from herongap.http import Reply, Request, bearer_token, problem
 from herongap.ini import Catalogue, Site
-from herongap.intake import Intake
 from herongap.interface import EndReason, ViewingRequest
+from herongap.overload import OverloadGuard
 
 log = structlog.get_logger()
 
 
-class Wish(NamedTuple):
+class SessionRequest(NamedTuple):
     """What a front asks the door for. `key` is what makes two wishes one viewing, `digest` what must then be
     equal in both; `offer` of `media_type` is what the streamer is sent. Patience in seconds.
     """
@@ -46,14 +46,14 @@
     top: str = ""
 
 
-class Door:
-    """The shared part of all fronts. `host` and `port` are one controller's; `intake` bounds what the process
-    takes on.
+class SessionService:
+    """The shared part of all fronts. `host` and `port` are one controller's; `overload_guard` bounds what the
+    process takes on.
     """
 
-    def __init__(self, site: Site, host: Host, port: Streamers, intake: Intake, catalogue: Catalogue,
-                 clock=time.monotonic):  # fmt: skip
-        self.site, self.host, self.port, self.intake = site, host, port, intake
+    def __init__(self, site: Site, host: Host, port: StreamerPort, overload_guard: OverloadGuard,
+                 catalogue: Catalogue, clock=time.monotonic):  # fmt: skip
+        self.site, self.host, self.port, self.overload_guard = site, host, port, overload_guard
         self.catalogue, self.clock = catalogue, clock
         self.repeats = RepeatDetector(site.front.remember, 100_000)
         self.packages = {p.name: p for p in site.charter.packages}
@@ -69,7 +69,7 @@
         if not self.site.tokens:
             return None
         challenge = [("WWW-Authenticate", 'Bearer realm="herongap"')]
-        given = bearer(request)
+        given = bearer_token(request)
         if given is None:
             return problem("no-credentials", headers=challenge)
         found = None
@@ -92,7 +92,7 @@
 
     def knock(self, protocol: str, title: str, request: Request) -> tuple | Reply:
         """The owner, the package and the holders of a request for a title, or the reply that refuses it."""
-        if self.intake.swamped():
+        if self.overload_guard.is_overloaded():
             return problem("overloaded", headers=[("Retry-After", "1")])
         if isinstance(owner := self.caller(request), Reply):
             return owner
@@ -104,7 +104,7 @@
 
     # Viewings.
 
-    def enter(self, wish: Wish, peer: Peer) -> Session | Reply:
+    def enter(self, wish: SessionRequest, peer: Peer) -> Session | Reply:
         """The session of a wish, which plays, or the reply that says why there is none; blocks until then."""
         now = self.clock()
         again, viewing = self.repeats.match(now, wish.key, wish.digest)
@@ -115,15 +115,15 @@
             return problem("session-over")
         if again is RepeatMatch.CONFLICT:
             return problem("key-reused")
-        if refusal := self.intake.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
+        if refusal := self.overload_guard.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
             kind, come_back = refusal
             return problem(kind, headers=[("Retry-After", str(math.ceil(come_back)))] if come_back else ())
         return self._await(self._take(wish, peer), peer)
 
-    def _take(self, wish: Wish, peer: Peer) -> Session:
+    def _take(self, wish: SessionRequest, peer: Peer) -> Session:
         p = self.packages[wish.package]
         # With a journal each process has ids of its own: those of the one before may still play.
-        process = f".{self.port.journal.boot}" if self.port.journal else ""
+        process = f".{self.port.journal.incarnation}" if self.port.journal else ""
         viewing = f"v{self.site.front.number}{process}-{next(self._ids)}"
         session = Session(
             viewing,
@@ -165,7 +165,7 @@
         try:
             # The host answers by the patience of the viewing; this is only against a fault there.
             if not session.done.is_set() and not peer.wait(session.done, 660.0):
-                raise Hung
+                raise PeerDisconnectedError
         finally:
             session.waiting -= 1
             if not session.waiting and peer.gone:
@@ -175,7 +175,7 @@
         if answer.verdict == "plays":
             return session
         if answer.verdict == "gone":
-            raise Hung
+            raise PeerDisconnectedError
         if answer.cause is EndReason.NOT_SENT:
             return problem("offer-refused")
         if answer.verdict == "blocked":
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -15,16 +15,16 @@
 import gevent
 from gevent.event import Event
 
+from herongap.daemon.http_connection import Peer, Server
 from herongap.daemon.listen import listen
-from herongap.daemon.wire import Peer, Server
-from herongap.etcd.messages import end_of
+from herongap.etcd.messages import prefix_end
 from herongap.http import Reply, Request
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 from herongap.standins.errors import BadBase64
 
 FRAGMENT = 64  # events of one message; etcd cuts at 1.5 MB
 ROOM = 128  # revisions that one message carries at most
-BOUNDS = Bounds(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
+BOUNDS = ProcessLimits(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
 
 
 class History:
@@ -464,7 +464,7 @@
 def whole(history: History, prefix: str) -> dict[str, bytes]:
     """What a reader of the prefix finds now."""
     first = prefix.encode()
-    return {k.decode(): v["value"] for k, v in history.at(history.revision, first, end_of(prefix))}
+    return {k.decode(): v["value"] for k, v in history.at(history.revision, first, prefix_end(prefix))}
 
 
 def _kv(key: bytes, value: dict) -> dict:
--- a/herongap/standins/player.py
+++ b/herongap/standins/player.py
@@ -14,8 +14,8 @@
 import gevent
 import h11
 
-from herongap.daemon.wire import Address, Pool, call_once
-from herongap.http import Reply, kind_of
+from herongap.daemon.http_connection import Address, ConnectionPool, request_once
+from herongap.http import Reply, problem_kind
 
 NS = "{urn:mpeg:dash:schema:mpd:2011}"
 AHEAD = 6.0  # seconds of buffer at which it pauses
@@ -65,7 +65,7 @@
         self.rungs: list[int] = []
         self.statuses: list[int] = []
         self.read_at = float("-inf")
-        self.pools: dict[Address, Pool] = {}
+        self.pools: dict[Address, ConnectionPool] = {}
 
     def again(self) -> None:
         """Begin a new session, as a player does that is opened anew or goes to another front."""
@@ -85,7 +85,7 @@
     def _fetch(self, target: str, patience: float) -> Reply | None:
         began, reply, kind = self.clock(), None, ""
         try:
-            reply = call_once(self.front, "GET", target, self.headers, time_out=patience)
+            reply = request_once(self.front, "GET", target, self.headers, time_out=patience)
         except TimeoutError:
             kind = "gave-up"
         except NETWORK as fault:
@@ -106,7 +106,7 @@
             self.name, "asked", identity=identity, target=self.target, patience=patience, front=self.front[1]
         )
         location = reply.header("content-location") if status == 200 else ""
-        kind = kind or (kind_of(reply.body) if status != 200 else "")
+        kind = kind or (problem_kind(reply.body) if status != 200 else "")
         self.log(
             self.name, "answered", identity=identity, asked=began, status=201 if status == 200 else status,
             kind=kind, taken=round(self.clock() - began, 4), front=self.front[1], location=location,
@@ -157,7 +157,7 @@
         rung = self._choose(m)
         told = f'bl={int(self.buffer * 1000)},br={int(m.rates[rung] * 8)},sid="{self.sid}"'
         told += ",bs" if self.starved else ""
-        pool = self.pools.setdefault(m.streamer, Pool(m.streamer, 0.5))
+        pool = self.pools.setdefault(m.streamer, ConnectionPool(m.streamer, 0.5))
         began = self.clock()
         try:
             target = f"{m.base}{rung}/{self.next}.m4s?CMCD={quote(told)}"
@@ -170,7 +170,7 @@
         self._use(took)
         self.statuses.append(reply.status)
         if reply.status != 200:
-            self.log(self.name, "segment-refused", status=reply.status, kind=kind_of(reply.body))
+            self.log(self.name, "segment-refused", status=reply.status, kind=problem_kind(reply.body))
             return False
         self.starved = False
         self.rate = m.rates[rung] * m.segment / max(took, 1e-3)
@@ -200,6 +200,6 @@
     def delete(self) -> int:
         """End the session; the status, 0 where none came."""
         try:
-            return call_once(self.front, "DELETE", self.location, self.headers).status
+            return request_once(self.front, "DELETE", self.location, self.headers).status
         except NETWORK:
             return 0
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -20,8 +20,8 @@
 from herongap.accord.document import encode_document
 from herongap.accord.shares import read_allocation
 from herongap.cli import main
-from herongap.daemon.budgets import terms
-from herongap.daemon.wire import call_once
+from herongap.daemon.budgets import budget_terms
+from herongap.daemon.http_connection import request_once
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
@@ -59,7 +59,7 @@
         FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
         FleetBudget("further", BudgetScope.FURTHER),
     )
-    all_terms = [terms(name, whole) for name, whole in made.wholes.items()]
+    all_terms = [budget_terms(name, whole) for name, whole in made.wholes.items()]
     assert all_terms == [
         BudgetTerms("seats", BudgetKind.HELD, 40, linger=8.0),
         BudgetTerms("further", BudgetKind.RATE, 6, window=2.0, keep_without_store=False),
@@ -275,7 +275,7 @@
 
         def put_status(time_out=0.3):
             body = json.dumps({"key": "YQ==", "value": "MQ=="}).encode()
-            return call_once(relay.address, "POST", "/v3/kv/put", [], body, time_out=time_out).status
+            return request_once(relay.address, "POST", "/v3/kv/put", [], body, time_out=time_out).status
 
         assert put_status() == 200
         before = etcd.history.revision
@@ -309,7 +309,7 @@
         etcd.elect(0.4)
         for i in range(40):
             body = json.dumps({"key": "YQ==", "value": "MQ=="}).encode()
-            assert call_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503, i
+            assert request_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503, i
         assert before < etcd.history.revision < before + 40
         gevent.sleep(0.6)
         assert etcd.history.leases[lease][0] > time.monotonic() + 0.5, (
@@ -317,7 +317,7 @@
         )
         etcd.members[0].part(True)
         revision = etcd.history.revision
-        assert call_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503
+        assert request_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503
         etcd.history.put(b"b", b"2")
         assert etcd.members[0].revision() == revision
         etcd.members[0].part(False)
@@ -459,7 +459,7 @@
 
 
 def test_platform_and_bench_adapters_import_neither_accord_nor_gossip():
-    text = "import sys, herongap.node.run, herongap.benchlink.link\n"
+    text = "import sys, herongap.node.run, herongap.benchlink.adapter\n"
     text += "print([m for m in sys.modules if 'accord' in m or 'gossip' in m])"
     found = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
     assert found.stdout == "[]\n"
