--- a/herongap/benchlink/__init__.py
+++ b/herongap/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire on standard input and output, one deciding module for each instance."""
+"""Serves the bench's wire on standard input and output, with one deciding module for each instance."""
--- a/herongap/benchlink/__main__.py
+++ b/herongap/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter: batches on standard input, replies on standard output."""
+"""Runs the adapter: batches on standard input, replies on standard output."""
 
 import sys
 
@@ -6,5 +6,5 @@
 
 try:
     BenchAdapter(sys.stdout.buffer).serve(sys.stdin.buffer)
-except MalformedInputError as fault:
-    sys.exit(f"benchlink: {fault}")
+except MalformedInputError as error:
+    sys.exit(f"benchlink: {error}")
--- a/herongap/benchlink/adapter.py
+++ b/herongap/benchlink/adapter.py
@@ -1,56 +1,69 @@
-"""The loop: each event becomes one call on its instance, each decision one message."""
+"""Turns each event of the wire into one call on its instance, and each decision into one message."""
 
 import json
 
 from herongap.benchlink import codec
 from herongap.errors import Unusable
 from herongap.interface import EndReason
-from herongap.platform.charter import charter
+from herongap.platform.deployment import deployment_config
 from herongap.rules import Controller
 
-KINDS = {"Partial": "changes", "Complete": "whole", "Persisted": "remembered", "Error": "failed"}
+LIST_KINDS = {"Partial": "changes", "Complete": "whole", "Persisted": "remembered", "Error": "failed"}
 
 
 class MalformedInputError(Unusable):
-    """Something on the wire that cannot be read."""
+    """Input that cannot be parsed."""
 
     advice = "see what writes to this process; the adapter ends"
 
 
-def note(f: dict):
-    """A note's kind picks the call; kinds not known here are passed over."""
+def note_call(fields: dict):
+    """Return the call that a note's kind stands for; unknown kinds are ignored."""
     calls = {
-        1: ("share_told", f["Streamer"]),
-        2: ("rung_told", f["Ref"]),
-        3: ("load_told", f["Streamer"], False, f["Ref"]),
-        4: ("load_told", f["Streamer"], True, f["Ref"]),
+        1: ("share_told", fields["Streamer"]),
+        2: ("rung_told", fields["Ref"]),
+        3: ("load_told", fields["Streamer"], False, fields["Ref"]),
+        4: ("load_told", fields["Streamer"], True, fields["Ref"]),
     }
-    call = calls.get(f["Sort"])
-    return call and (*call, f["Amount"])
+    call = calls.get(fields["Sort"])
+    return call and (*call, fields["Amount"])
 
 
-def ending(f: dict) -> EndReason:
-    """How something ended; a word not known here is told as such."""
-    return codec.ENDINGS.get(f["How"], EndReason.UNKNOWN)
+def end_reason(fields: dict) -> EndReason:
+    """Return how something ended; an unknown word is reported as UNKNOWN."""
+    return codec.END_REASONS.get(fields["How"], EndReason.UNKNOWN)
 
 
-READERS = {
-    "Begun": lambda f: ("started", f["Ref"], f["Shot"], f["Streamer"], f["TimeTaken"] / 1000),
-    "Answer": lambda f: (
+# For each event, the function from its fields to a call: a method of Controller, and its arguments but `now`.
+EVENT_CALLS = {
+    "Begun": lambda fields: (
+        "started",
+        fields["Ref"],
+        fields["Shot"],
+        fields["Streamer"],
+        fields["TimeTaken"] / 1000,
+    ),
+    "Answer": lambda fields: (
         "ended",
-        f["Ref"],
-        f["Shot"],
-        f["Streamer"],
-        ending(f),
-        f["TimeTaken"] / 1000,
-        bool(f.get("NoMore")),
-        codec.load(f),
+        fields["Ref"],
+        fields["Shot"],
+        fields["Streamer"],
+        end_reason(fields),
+        fields["TimeTaken"] / 1000,
+        bool(fields.get("NoMore")),
+        codec.parse_load(fields),
+    ),
+    "Change": note_call,
+    "Abandoned": lambda fields: ("left", fields["Ref"]),
+    "Ring": lambda fields: ("woke",),
+    "Checked": lambda fields: (
+        "probed",
+        fields["Streamer"],
+        end_reason(fields),
+        fields["TimeTaken"] / 1000,
+        codec.parse_load(fields),
     ),
-    "Change": note,
-    "Abandoned": lambda f: ("left", f["Ref"]),
-    "Ring": lambda f: ("woke",),
-    "Checked": lambda f: ("probed", f["Streamer"], ending(f), f["TimeTaken"] / 1000, codec.load(f)),
-    "Whisper": lambda f: ("heard", f["OriginPeer"], bytes.fromhex(f["Contents"])),
+    "Whisper": lambda fields: ("heard", fields["OriginPeer"], bytes.fromhex(fields["Contents"])),
 }
 
 
@@ -59,90 +72,94 @@
 
     def __init__(self, out):
         self.out = out
-        self.hosted: dict[str, Controller] = {}
-        self.shapes: dict[str, tuple[int, int]] = {}  # cells and racks of each instance's deployment
+        self.controllers: dict[str, Controller] = {}
+        self.dimensions: dict[str, tuple[int, int]] = {}  # cells and racks of each instance's deployment
+        # The elements of each list, and the entries made of them for each number of racks.
         self.lists: dict[int, tuple[list[dict], dict[int, tuple]]] = {}
         self.now = 0.0
 
     def serve(self, lines) -> None:
-        """Read until the end of input, one reply a batch."""
+        """Process the input to its end; each batch gets one reply. Raises MalformedInputError."""
         touched: dict[str, None] = {}
         replies: list[str] = []
         for line in lines:
             if not line.strip():
                 continue
             try:
-                ((name, f),) = json.loads(line).items()
+                ((name, fields),) = json.loads(line).items()
                 if name == "Turn":
-                    self.now = f["Moment"] / 1000
+                    self.now = fields["Moment"] / 1000
                 elif name == "YourTurn":
-                    self.answer(touched, replies)
+                    self.reply(touched, replies)
                     touched, replies = {}, []
                 else:
-                    call = self.read(name, f)
-            except (KeyError, TypeError, ValueError, AttributeError) as fault:
+                    call = self.parse_event(name, fields)
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
                 text = line[:200].decode(errors="replace").strip()
-                raise MalformedInputError(f"cannot read {text!r}: {fault!r}") from fault
+                raise MalformedInputError(f"cannot read {text!r}: {error!r}") from error
             if name not in ("Turn", "YourTurn", "List"):
-                self.tell(f["I"], name, call, touched, replies)
+                self.call_instance(fields["I"], name, call, touched, replies)
 
-    def read(self, name: str, f: dict):
-        """The call that an event stands for, or None."""
+    def parse_event(self, name: str, fields: dict):
+        """Return the call that an event stands for, or None."""
         if name == "List":
-            self.lists[f["RosterId"]] = f["Elements"], {}
+            self.lists[fields["RosterId"]] = fields["Elements"], {}
             return None
-        if name not in READERS and name not in ("Spawn", "Retire", "PeersKnown", "WorkItem", "Handover"):
+        if name not in EVENT_CALLS and name not in ("Spawn", "Retire", "PeersKnown", "WorkItem", "Handover"):
             raise MalformedInputError(f"unknown message {name!r}")
-        who = f["I"]
+        instance = fields["I"]
         if name == "Spawn":
-            info = f["Conf"]["FamilyInfo"]
-            self.shapes[who] = int(info["Places"]), max(1, int(info["Racks"]))
-            return ("__init__", f["Seed"], charter(f["Conf"]))
+            info = fields["Conf"]["FamilyInfo"]
+            self.dimensions[instance] = int(info["Places"]), max(1, int(info["Racks"]))
+            return ("__init__", fields["Seed"], deployment_config(fields["Conf"]))
         if name == "Retire":
             return None
-        if who not in self.hosted:
-            raise MalformedInputError(f"{who!r} was never started")
+        if instance not in self.controllers:
+            raise MalformedInputError(f"instance {instance!r} was never started")
         if name == "WorkItem":
-            return ("asked", codec.asked(f, self.shapes[who][0]))
+            return ("asked", codec.parse_request(fields, self.dimensions[instance][0]))
         if name == "Handover":
-            return ("handed", codec.asked(f, self.shapes[who][0]), f["Streamer"])
+            return ("handed", codec.parse_request(fields, self.dimensions[instance][0]), fields["Streamer"])
         if name == "PeersKnown":
-            kind = KINDS[f["How"]]
-            return ("listed", kind, self.lines(f["RosterId"], who) if kind != "failed" else ())
-        return READERS[name](f)
-
-    def lines(self, number: int, who: str) -> tuple:
-        """A list in our types, made once for all instances of one deployment."""
-        elements, made = self.lists[number]
-        racks = self.shapes[who][1]
-        if racks not in made:
-            made[racks] = tuple(codec.listed(line, racks) for line in elements)
-        return made[racks]
-
-    def tell(self, who: str, name: str, call, touched: dict, replies: list[str]) -> None:
-        """Make one call; what fails inside the deciding code is reported for that instance."""
+            kind = LIST_KINDS[fields["How"]]
+            return ("listed", kind, self.entries(fields["RosterId"], instance) if kind != "failed" else ())
+        return EVENT_CALLS[name](fields)
+
+    def entries(self, list_id: int, instance: str) -> tuple:
+        """Return the entries of a list, which are made once for all instances with as many racks."""
+        elements, entries_by_racks = self.lists[list_id]
+        racks = self.dimensions[instance][1]
+        if racks not in entries_by_racks:
+            entries_by_racks[racks] = tuple(codec.parse_entry(element, racks) for element in elements)
+        return entries_by_racks[racks]
+
+    def call_instance(self, instance: str, name: str, call, touched: dict, replies: list[str]) -> None:
+        """Make one call; an exception of the deciding module is reported for that instance."""
         if name == "Retire":
-            self.hosted.pop(who, None)
-            touched.pop(who, None)
+            self.controllers.pop(instance, None)
+            touched.pop(instance, None)
             return
-        touched[who] = None
+        touched[instance] = None
         try:
             if name == "Spawn":
-                self.hosted[who] = Controller(self.now, *call[1:])
+                self.controllers[instance] = Controller(self.now, *call[1:])
             elif call:
-                getattr(self.hosted[who], call[0])(self.now, *call[1:])
-        except Exception as fault:
-            replies.append(json.dumps({"Panic": {"I": who, "Words": f"{name}: {fault!r}"}}))
+                getattr(self.controllers[instance], call[0])(self.now, *call[1:])
+        except Exception as error:
+            replies.append(json.dumps({"Panic": {"I": instance, "Words": f"{name}: {error!r}"}}))
 
-    def answer(self, touched: dict, replies: list[str]) -> None:
-        """Pull decisions from each instance that had an event, and write them."""
-        for who in touched:
+    def reply(self, touched: dict, replies: list[str]) -> None:
+        """Pull the decisions of each instance that had an event, and write them."""
+        for instance in touched:
             try:
-                while who in self.hosted and (decision := self.hosted[who].decide(self.now)) is not None:
-                    name, fields = codec.MESSAGES[decision[0]](*decision[1:])
-                    replies.append(json.dumps({name: {"I": who, **fields}}))
-            except Exception as fault:
-                replies.append(json.dumps({"Panic": {"I": who, "Words": f"decide: {fault!r}"}}))
+                while (
+                    instance in self.controllers
+                    and (decision := self.controllers[instance].decide(self.now)) is not None
+                ):
+                    name, fields = codec.DECISION_ENCODERS[decision[0]](*decision[1:])
+                    replies.append(json.dumps({name: {"I": instance, **fields}}))
+            except Exception as error:
+                replies.append(json.dumps({"Panic": {"I": instance, "Words": f"decide: {error!r}"}}))
         replies.append('{"Ready":{}}')
         self.out.write(("\n".join(replies) + "\n").encode())
         self.out.flush()
--- a/herongap/benchlink/codec.py
+++ b/herongap/benchlink/codec.py
@@ -1,8 +1,8 @@
-"""The wire's fields in our types, and our decisions as wire messages; milliseconds become seconds."""
+"""Converts the wire's fields to our types, and decisions to messages; the wire's times are milliseconds."""
 
 from herongap.interface import EndReason, LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 
-ENDINGS = {
+END_REASONS = {
     "OK": EndReason.PLAYED,
     "INTERNAL": EndReason.FAULTY,
     "RESOURCE_EXHAUSTED": EndReason.FULL,
@@ -12,61 +12,65 @@
     "CANCELLED": EndReason.CALLED_OFF,
     "TOO_LATE": EndReason.NOT_SENT,
 }
-STANDINGS = {"active": StreamerStatus.ACTIVE, "leaving": StreamerStatus.LEAVING, "left": StreamerStatus.LEFT}
+STATUSES = {"active": StreamerStatus.ACTIVE, "leaving": StreamerStatus.LEAVING, "left": StreamerStatus.LEFT}
 
 
-def listed(line: dict, racks: int) -> StreamerEntry:
-    """One entry of a list; a cell's streamers hold the same titles, and its rack is the cell mod `racks`."""
-    cell = int(line["SlotNo"])
-    since = line.get("UpSince") or 0
+def parse_entry(element: dict, racks: int) -> StreamerEntry:
+    """Return one entry of a streamer list.
+
+    The streamers of a cell hold the same titles; the cell modulo `racks` is its rack.
+    """
+    cell = int(element["SlotNo"])
+    started_ms = element.get("UpSince") or 0
     return StreamerEntry(
-        line["Streamer"],
-        line["Hall"],
-        line["Flavor"],
+        element["Streamer"],
+        element["Hall"],
+        element["Flavor"],
         cell,
         cell,
         cell % racks,
-        STANDINGS[line["State"]],
-        float(line.get("Scale", 1)),
-        since / 1000 if since else None,
+        STATUSES[element["State"]],
+        float(element.get("Scale", 1)),
+        started_ms / 1000 if started_ms else None,
     )
 
 
-def asked(f: dict, cells: int) -> ViewingRequest:
-    """A request, or a viewing handed over; its holders are a run of the wire's `cells`."""
-    hint = f.get("SizeHint")
+def parse_request(fields: dict, cells: int) -> ViewingRequest:
+    """Return a request, or a viewing handed over; its holders are consecutive ones of the `cells` cells."""
+    length_ms = fields.get("SizeHint")
     return ViewingRequest(
-        f["Ref"],
-        f["Subject"],
-        f["Grade"],
-        f.get("Team") or None,
-        f["Item"],
-        frozenset((int(f["Home"]) + i) % cells for i in range(int(f["Holders"]))),
-        int(f["MaxRung"]),
-        f.get("Remaining", 0) / 1000,
-        None if hint is None else hint / 1000,
-        bool(f.get("Moved")),
-        bool(f.get("Reconnect") or f.get("AgainByClient")),
+        fields["Ref"],
+        fields["Subject"],
+        fields["Grade"],
+        fields.get("Team") or None,
+        fields["Item"],
+        frozenset((int(fields["Home"]) + i) % cells for i in range(int(fields["Holders"]))),
+        int(fields["MaxRung"]),
+        fields.get("Remaining", 0) / 1000,
+        None if length_ms is None else length_ms / 1000,
+        bool(fields.get("Moved")),
+        bool(fields.get("Reconnect") or fields.get("AgainByClient")),
     )
 
 
-def load(f: dict) -> LoadReport | None:
-    """A load report; what the module does not use is passed over."""
-    r = f.get("Feedback")
-    return None if r is None else LoadReport(r.get("x0"), r.get("cpu_share"), r.get("x1"))
+def parse_load(fields: dict) -> LoadReport | None:
+    """Return a load report, or None; values that the deciding module does not use are ignored."""
+    report = fields.get("Feedback")
+    return None if report is None else LoadReport(report.get("x0"), report.get("cpu_share"), report.get("x1"))
 
 
-MESSAGES = {
-    "tune_in": lambda vw, st, time_out: (
+# For each kind of decision, the function from its operands to a message's name and fields.
+DECISION_ENCODERS = {
+    "tune_in": lambda viewing, streamer, time_out: (
         "Transmit",
-        {"Ref": vw, "Streamer": st, "Patience": time_out * 1000},
+        {"Ref": viewing, "Streamer": streamer, "Patience": time_out * 1000},
     ),
-    "rung": lambda vw, rung: ("StepTo", {"Ref": vw, "TierNo": rung}),
-    "block": lambda vw, come_back: ("PushBack", {"Ref": vw, "HoldOff": come_back * 1000}),
-    "abort": lambda vw: ("GiveUp", {"Ref": vw}),
-    "call_off": lambda vw, number: ("Cancel", {"Ref": vw, "Shot": number}),
-    "move": lambda vw: ("Evict", {"Ref": vw}),
-    "probe": lambda st: ("SoundOut", {"Streamer": st}),
+    "rung": lambda viewing, rung: ("StepTo", {"Ref": viewing, "TierNo": rung}),
+    "block": lambda viewing, come_back: ("PushBack", {"Ref": viewing, "HoldOff": come_back * 1000}),
+    "abort": lambda viewing: ("GiveUp", {"Ref": viewing}),
+    "call_off": lambda viewing, number: ("Cancel", {"Ref": viewing, "Shot": number}),
+    "move": lambda viewing: ("Evict", {"Ref": viewing}),
+    "probe": lambda streamer: ("SoundOut", {"Streamer": streamer}),
     "follow": lambda: ("Track", {"Enable": True}),
     "tell": lambda peer, words: ("Notify", {"Target": peer, "Contents": words.hex()}),
     "wake": lambda at: ("Timer", {"Ctx": "wake", "DueAt": at * 1000}),
--- a/herongap/limiter.py
+++ b/herongap/limiter.py
@@ -1,126 +1,150 @@
-"""Which connections a controller on the platform keeps: the process's own limits, decided without I/O.
+"""Decides which connections a controller on the platform keeps, without I/O.
 
-A descriptor held by somebody who says nothing is one that a viewer cannot have. These limits protect the
-process, before any viewing exists; what becomes of a viewing is the module's.
+A descriptor held by a peer that sends nothing is one that a viewer cannot have. These limits protect the
+process and apply before a viewing exists; the deciding module decides what becomes of a viewing.
 """
 
 from collections.abc import Callable, Hashable, Iterable, Iterator
 from typing import NamedTuple
 
-MUTE = 2.0  # seconds in which a new connection must have said something, and a line must have ended
-LAG = 0.15  # seconds by which a process may come late to its own times before it turns set-ups away
-SPARE = 2  # idle connections to one streamer that are kept
-STALE = 1 / 3  # of the time after which its streamer closes an idle one: those beyond that are closed
-DOUBT = 1.0  # seconds that a connection to a streamer has to show that it lives
-SHUT = 1.0  # seconds until a streamer that refused a connection is dialled again for what it is owed
+# A new connection must have sent a message within this time, and a line that has begun must have ended.
+MESSAGE_TIMEOUT_SECONDS = 2.0
+MAX_LAG_SECONDS = 0.15  # a process that runs later than this rejects set-ups
+MAX_SPARE_CONNECTIONS = 2  # idle connections to one streamer that are kept
+# Spare connections beyond those are closed when idle for this share of their streamer's idle time-out.
+STALE_IDLE_SHARE = 1 / 3
+SUSPECT_TIMEOUT_SECONDS = (
+    1.0  # a suspected connection to a streamer is closed unless it shows life in this time
+)
+REDIAL_DELAY_SECONDS = (
+    1.0  # pause before a streamer that refused a connection is dialled for pending messages
+)
 
 
-def evictions(now: float, lines: Iterable, room: bool, idle: float) -> list:
-    """The connections to one streamer that are to be closed; `room` tells whether descriptors are left,
-    `idle` for how many seconds one may be still before its streamer might close it under a set-up.
+def connections_to_close(now: float, connections: Iterable, room: bool, idle_limit: float) -> list:
+    """Return the connections to one streamer that are to be closed.
 
-    A connection has `attempts`, the set-ups that it carries, `spoke`, when its streamer last said something
-    on it, and `doubted`, since when it may be dead, or None.
+    `room` tells whether descriptors are left. `idle_limit` is how many seconds a connection may be idle
+    before its streamer might close it while a set-up is on its way.
+
+    A connection has `attempts`, the set-ups in flight on it, `last_received`, when its streamer last sent
+    something on it, and `suspected_at`, since when it may be dead, or None.
     """
-    free = sorted((line for line in lines if not line.attempts), key=lambda line: line.spoke)
-    beyond = free[: max(0, len(free) - SPARE)]
-    stale = STALE * idle if room else 0.0
+    free = sorted(
+        (connection for connection in connections if not connection.attempts),
+        key=lambda connection: connection.last_received,
+    )
+    surplus = free[: max(0, len(free) - MAX_SPARE_CONNECTIONS)]
+    surplus_limit = STALE_IDLE_SHARE * idle_limit if room else 0.0
     return [
-        line
-        for line in free
-        if (line.doubted is not None and now - line.doubted > DOUBT)
-        or now - line.spoke > (stale if line in beyond else idle)
+        connection
+        for connection in free
+        if (connection.suspected_at is not None and now - connection.suspected_at > SUSPECT_TIMEOUT_SECONDS)
+        or now - connection.last_received > (surplus_limit if connection in surplus else idle_limit)
     ]
 
 
-class Known(NamedTuple):
-    """One connection: when it came and last said something of use, its set-ups that wait for an answer."""
+class ClientRecord(NamedTuple):
+    """One connection: when it was opened, when it last sent a valid message, and its unanswered set-ups."""
 
-    since: float
-    spoke: float | None
-    waiting: int
+    opened_at: float
+    last_message: float | None
+    unanswered: int
 
 
 class ConnectionLimiter:
-    """All viewers' connections; `most` are kept, and up to `limit` where none of them may be closed."""
+    """All connections of viewers.
+
+    `max_connections` are kept, and up to `hard_limit` where none of them may be closed.
+    """
 
-    def __init__(self, most: int, limit: int | None = None):
-        self.most, self.limit = most, most if limit is None else limit
-        self.known: dict[Hashable, Known] = {}
-        self.half: dict[Hashable, float] = {}
-        self.behind = 0.0
+    def __init__(self, max_connections: int, hard_limit: int | None = None):
+        self.max_connections = max_connections
+        self.hard_limit = max_connections if hard_limit is None else hard_limit
+        self.clients: dict[Hashable, ClientRecord] = {}
+        self.partial_since: dict[Hashable, float] = {}
+        self.lag = 0.0
 
     def record_lag(self, seconds: float) -> None:
-        """How late the process came to a thing it had set a time for: the worst counts, and fades."""
-        self.behind = max(seconds, 0.7 * self.behind)
+        """Record how late the process ran a timer: the worst value counts, and decays."""
+        self.lag = max(seconds, 0.7 * self.lag)
 
     def is_overloaded(self) -> bool:
-        """Whether the process is so late that new set-ups would only make those late that it has taken."""
-        return self.behind > LAG
+        """Whether the process is so late that new set-ups would only delay those that it has accepted."""
+        return self.lag > MAX_LAG_SECONDS
 
-    def came(self, now: float, who: Hashable, quiet: Callable[[Hashable], bool]) -> list:
-        """One more connection; those to be closed for it: mute ones first, then those longest without use.
+    def add(self, now: float, client: Hashable, is_quiet: Callable[[Hashable], bool]) -> list:
+        """Add a connection; return those to close for it: silent ones first, then the least recently used.
 
-        `quiet` tells whether nothing of a connection is still unread, or unsent: a request on its way is not
-        cut off, nor an answer. Nor is the newcomer, which may have sent its request already, up to `limit`.
+        `is_quiet` tells whether a connection has nothing unread and nothing unsent: neither a request nor an
+        answer on its way is cut off. Up to `hard_limit` the new connection is kept too, as it may have sent
+        its request already.
         """
-        self.known[who] = Known(now, None, 0)
-        over = len(self.known) - self.most
-        if over <= 0:
+        self.clients[client] = ClientRecord(now, None, 0)
+        excess = len(self.clients) - self.max_connections
+        if excess <= 0:
             return []
-        idle = [(k.spoke is not None, k.spoke or k.since, i, w)
-                for i, (w, k) in enumerate(self.known.items()) if not k.waiting and w is not who]  # fmt: skip
+        idle = [(record.last_message is not None, record.last_message or record.opened_at, index, other)
+                for index, (other, record) in enumerate(self.clients.items())
+                if not record.unanswered and other is not client]  # fmt: skip
         victims = []
         for *_, victim in sorted(idle):
-            if len(victims) == over:
+            if len(victims) == excess:
                 break
-            if quiet(victim):
+            if is_quiet(victim):
                 victims.append(victim)
-        if len(self.known) - len(victims) > self.limit:
-            victims.append(who)
+        if len(self.clients) - len(victims) > self.hard_limit:
+            victims.append(client)
         for victim in victims:
-            self.went(victim)
+            self.remove(victim)
         return victims
 
-    def spoke(self, now: float, who: Hashable) -> None:
-        """It said something that only a viewer's side says."""
-        if known := self.known.get(who):
-            self.known[who] = known._replace(spoke=now)
+    def message_received(self, now: float, client: Hashable) -> None:
+        """Record a valid message of a client."""
+        if record := self.clients.get(client):
+            self.clients[client] = record._replace(last_message=now)
 
-    def of_use(self, who: Hashable) -> bool:
-        """Whether it has ever said something that only a viewer's side says."""
-        known = self.known.get(who)
-        return known is not None and known.spoke is not None
+    def has_sent_message(self, client: Hashable) -> bool:
+        """Whether the client has ever sent a valid message."""
+        record = self.clients.get(client)
+        return record is not None and record.last_message is not None
 
-    def took(self, who: Hashable) -> None:
-        """A set-up of its waits for an answer."""
-        if known := self.known.get(who):
-            self.known[who] = known._replace(waiting=known.waiting + 1)
+    def set_up_accepted(self, client: Hashable) -> None:
+        """Record a set-up of the client that waits for an answer."""
+        if record := self.clients.get(client):
+            self.clients[client] = record._replace(unanswered=record.unanswered + 1)
 
-    def settled(self, who: Hashable) -> None:
-        """One of its set-ups has its answer."""
-        if known := self.known.get(who):
-            self.known[who] = known._replace(waiting=max(0, known.waiting - 1))
+    def set_up_answered(self, client: Hashable) -> None:
+        """Record that one of the client's set-ups has its answer."""
+        if record := self.clients.get(client):
+            self.clients[client] = record._replace(unanswered=max(0, record.unanswered - 1))
 
-    def went(self, who: Hashable) -> None:
-        self.known.pop(who, None)
-        self.half.pop(who, None)
+    def remove(self, client: Hashable) -> None:
+        """Forget a connection that has ended."""
+        self.clients.pop(client, None)
+        self.partial_since.pop(client, None)
 
-    def overdue(self, now: float, quiet: Callable, begun: Callable) -> Iterator:
-        """Those that said nothing for too long since they came, or left a line begun for so long.
+    def pop_overdue(self, now: float, is_quiet: Callable, has_partial_line: Callable) -> Iterator:
+        """Remove and yield the connections that sent no message in time, or did not end a line in time.
 
-        `quiet` as above; `begun` tells whether a connection has begun a line and not ended it.
+        `is_quiet` is as in `add`; `has_partial_line` tells whether a connection has begun a line and not
+        ended it.
         """
-        for who, known in list(self.known.items()):
-            if not begun(who):
-                self.half.pop(who, None)
-                late = known.spoke is None and now - known.since > MUTE and quiet(who)
+        for client, record in list(self.clients.items()):
+            if not has_partial_line(client):
+                self.partial_since.pop(client, None)
+                overdue = (
+                    record.last_message is None
+                    and now - record.opened_at > MESSAGE_TIMEOUT_SECONDS
+                    and is_quiet(client)
+                )
             else:
-                # Since when, only these looks tell; a whole message since then begins it anew.
-                since = self.half.setdefault(who, now)
-                if known.spoke is not None and known.spoke > since:
-                    since = self.half[who] = now
-                late = now - since > MUTE and not known.waiting  # what is owed there goes out first
-            if late:
-                self.went(who)
-                yield who
+                # Only these checks show since when a line is partial; a whole message starts the time anew.
+                since = self.partial_since.setdefault(client, now)
+                if record.last_message is not None and record.last_message > since:
+                    since = self.partial_since[client] = now
+                # Answers that are still due there are sent first.
+                overdue = now - since > MESSAGE_TIMEOUT_SECONDS and not record.unanswered
+            if overdue:
+                self.remove(client)
+                yield client
--- a/herongap/node/__init__.py
+++ b/herongap/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's controller: gevent sockets that only carry between its protocol and the host."""
+"""The platform's controller: gevent sockets that connect the platform's protocol with the host."""
--- a/herongap/node/__main__.py
+++ b/herongap/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m herongap.node`: the controller that PROXY_CONFIG describes."""
+"""Runs the controller that PROXY_CONFIG describes: `python -m herongap.node`."""
 
 from herongap.node.run import main
 
--- a/herongap/node/connection.py
+++ b/herongap/node/connection.py
@@ -1,4 +1,4 @@
-"""One connection of JSON lines: read by a greenlet of its own, written at once or when the peer takes it."""
+"""One connection of JSON lines: read by its own greenlet, written at once or as soon as the peer reads."""
 
 import os
 import socket as plain
@@ -10,90 +10,100 @@
 import structlog
 from gevent import socket
 
-from herongap.platform.lines import Lines, TooLong
+from herongap.platform.lines import LineBuffer, LineTooLongError
 
-BACKLOG = 1 << 18  # bytes that a peer may leave unread before it is given up, and that one look reads at most
-CHUNK = 16384
-# Seconds between two reads of what is only thrown away: a peer that is not understood must cost nothing.
-PAUSE = 0.01
-# Lines that hold these bytes are logged as they pass: the id of one viewing, or "ref" for all.
+# Bytes that a peer may leave unread before its connection is closed, and the most that one call of
+# `read_available` reads.
+MAX_BACKLOG_BYTES = 1 << 18
+READ_CHUNK_BYTES = 16384
+# Seconds between two reads of input that is discarded: a peer that cannot be understood must cost nothing.
+DISCARD_PAUSE_SECONDS = 0.01
+# Lines that contain these bytes are logged as they pass: the id of one viewing, or "ref" for all.
 TRACE = os.environ.get("HERONGAP_TRACE", "").encode()
 log = structlog.get_logger()
 
 
 class Connection:
-    """A connection that stands. `heard(conn, line)` is called for each line, `lost(conn)` once at its end,
-    `spoilt(conn, fault)` for a line that is too long to be one; without it the connection ends there.
+    """An open connection.
 
-    `heard` may close the connection, or make it `deaf`; the lines that came with it are then dropped. A
-    `half_closed` one is only read to its end. One that is `broken` was ended by its peer, which may not have
-    read what it was sent last.
+    `on_line(connection, line)` is called for each line, `on_closed(connection)` once at its end, and
+    `on_oversized(connection, error)` for a line that is too long; without it the connection is closed then.
+
+    `on_line` may close the connection or set `discarding`; the lines that came with it are then dropped. A
+    `half_closed` connection is only read to its end. A `broken` one was ended by its peer, which may not have
+    read the last messages sent to it.
     """
 
     def __init__(
-        self, sock: socket.socket, peer: str, heard: Callable, lost: Callable, spoilt: Callable | None = None
+        self,
+        sock: socket.socket,
+        peer: str,
+        on_line: Callable,
+        on_closed: Callable,
+        on_oversized: Callable | None = None,
     ):
         sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-        self.sock, self.peer, self._heard, self._lost = sock, peer, heard, lost
-        self._spoilt = spoilt or (lambda conn, fault: conn.close(str(fault)))
-        self.lines, self.closed, self.cause = Lines(), False, ""
-        self.deaf = self.half_closed = self.broken = self._ended = False
-        # Messages that the system has not taken yet, `behind` bytes; of the first it has taken `_sent`.
+        self.sock, self.peer, self._on_line, self._on_closed = sock, peer, on_line, on_closed
+        self._on_oversized = on_oversized or (lambda connection, error: connection.close(str(error)))
+        self.input, self.closed, self.cause = LineBuffer(), False, ""
+        self.discarding = self.half_closed = self.broken = self._ended = False
+        # Messages that the system has not accepted in full; `unsent_bytes` are left. Of the first, `_sent`
+        # bytes have been written.
         self._unsent: deque[bytes] = deque()
-        self._sent, self.behind, self._writer = 0, 0, None
+        self._sent, self.unsent_bytes, self._writer = 0, 0, None
         self._reader = gevent.spawn(self._read)
 
     # Writing.
 
     def send(self, data: bytes) -> bool:
-        """Write, or keep for when the peer reads on; False if the connection has ended."""
+        """Write a message, or queue it until the peer reads on; False if the connection has ended."""
         if self.closed or self.half_closed:
             return False
         if TRACE and TRACE in data:
             log.info("sent", peer=self.peer, line=data.decode())
         self._unsent.append(data)
-        self.behind += len(data)
+        self.unsent_bytes += len(data)
         if self._writer is None:
             self._flush()
             if self._unsent and not self.closed:
                 self._writer = gevent.spawn(self._write)
-        if self.behind > BACKLOG:
-            self.close("its peer reads nothing")
+        if self.unsent_bytes > MAX_BACKLOG_BYTES:
+            self.close("the peer does not read")
         return not self.closed
 
-    def unsent(self, data: bytes) -> bool:
-        """Whether that message, the very object, has not left whole."""
-        return any(data is waiting for waiting in self._unsent)
+    def is_unsent(self, data: bytes) -> bool:
+        """Whether that message, the very object, has not been written in full."""
+        return any(data is message for message in self._unsent)
 
     def withdraw(self, data: bytes) -> bool:
-        """Take back a message of which nothing has left; False if it is too late for that."""
-        for i, waiting in enumerate(self._unsent):
-            if waiting is data and (i or not self._sent):
+        """Remove a message of which nothing has been written; False if it is too late for that."""
+        for i, message in enumerate(self._unsent):
+            if message is data and (i or not self._sent):
                 del self._unsent[i]
-                self.behind -= len(data)
+                self.unsent_bytes -= len(data)
                 return True
         return False
 
     def half_close(self) -> None:
-        """Say that nothing more will be sent, once all has been, and read on to the end."""
+        """Shut down the sending side once everything is written, and read on to the end."""
         self.half_closed = True
         if not self._unsent:
             with suppress(OSError):
                 self.sock._sock.shutdown(plain.SHUT_WR)
 
     def _flush(self) -> None:
-        """Write what the system takes."""
+        """Write as much as the system accepts now."""
         while self._unsent and not self.closed:
             first = self._unsent[0]
             try:
                 sent = self.sock._sock.send(memoryview(first)[self._sent :])
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError as fault:
+            except OSError as error:
                 self.broken = True
-                self.close(f"not written: {fault}")
+                self.close(f"write failed: {error}")
                 return
-            self.behind -= sent
+            self.unsent_bytes -= sent
             self._sent += sent
             if self._sent == len(first):
                 self._unsent.popleft()
@@ -110,44 +120,45 @@
 
     # Reading.
 
-    def look(self) -> bool:
-        """Hear what lies unread, as its reader would in a moment; whether that was all of it.
+    def read_available(self) -> bool:
+        """Read and handle what has arrived, without waiting for the reader; whether that was all of it.
 
-        Bounded, or a peer that never stops would keep everybody else waiting. At its end `lost` is called.
+        The amount is bounded, or a peer that never stops would block all others. At the end of the connection
+        `on_closed` is called.
         """
-        for _ in range(BACKLOG // CHUNK):
+        for _ in range(MAX_BACKLOG_BYTES // READ_CHUNK_BYTES):
             if self.closed:
                 break
             try:
-                data = self.sock._sock.recv(CHUNK, plain.MSG_DONTWAIT)
+                data = self.sock._sock.recv(READ_CHUNK_BYTES, plain.MSG_DONTWAIT)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError as fault:
-                data, self.cause = b"", self.cause or str(fault)
-            if not self._took(data):
+            except OSError as error:
+                data, self.cause = b"", self.cause or str(error)
+            if not self._handle_input(data):
                 self._end()
         else:
             return False
         return True
 
-    def stands(self) -> bool:
-        """Whether its peer has not closed it, as far as can be told here and now."""
+    def is_open(self) -> bool:
+        """Whether the peer has not closed the connection, as far as can be seen without waiting."""
         return not self.closed and self._peek() != b""
 
-    def quiet(self) -> bool:
-        """Whether nothing that its peer sent is still to be heard, and nothing for it still unsent."""
-        return self.closed or not (self._unsent or self.unread())
+    def is_quiet(self) -> bool:
+        """Whether no input is unread and no output unsent."""
+        return self.closed or not (self._unsent or self.has_unread_input())
 
-    def unread(self) -> bool:
-        """Whether something that its peer sent is still to be heard."""
-        return not (self.closed or self.deaf) and bool(self._peek())
+    def has_unread_input(self) -> bool:
+        """Whether input that is not discarded has arrived and is unread."""
+        return not (self.closed or self.discarding) and bool(self._peek())
 
-    def half_line(self) -> bool:
-        """Whether its peer has begun a line, and nothing that may end it lies unread."""
-        return self.lines.begun and not self.unread()
+    def has_partial_line(self) -> bool:
+        """Whether the peer has begun a line, and no input that might end it is unread."""
+        return self.input.has_partial_line and not self.has_unread_input()
 
     def _peek(self) -> bytes | None:
-        """A byte that lies unread, None where none does, b"" at its end."""
+        """Return an unread byte, None if there is none, b"" at the end of the input."""
         try:
             return self.sock._sock.recv(1, plain.MSG_PEEK | plain.MSG_DONTWAIT)
         except (BlockingIOError, InterruptedError):
@@ -156,50 +167,51 @@
             return b""
 
     def close(self, cause: str = "") -> None:
-        """End it now, whatever is unsent. `lost` is called a moment later, never from within this call."""
+        """Close it now, whatever is unsent; `on_closed` is called a moment later, never within this call."""
         if not self.closed:
             self.closed, self.cause = True, cause
             with suppress(OSError):
                 self.sock._sock.shutdown(plain.SHUT_RDWR)
-            # Not left to the reader: one that is killed before it ever ran would tell nobody.
+            # Not left to the reader: a greenlet that is killed before it ever ran would not call `on_closed`.
             gevent.spawn(self._end)
 
     def _read(self) -> None:
         try:
             while not self.closed:
-                if not self._took(self.sock.recv(CHUNK)):
+                if not self._handle_input(self.sock.recv(READ_CHUNK_BYTES)):
                     break
-                if self.deaf:
-                    gevent.sleep(PAUSE)
-        except OSError as fault:
-            self.cause = self.cause or str(fault)
+                if self.discarding:
+                    gevent.sleep(DISCARD_PAUSE_SECONDS)
+        except OSError as error:
+            self.cause = self.cause or str(error)
         finally:
             self._end()
 
-    def _took(self, data: bytes) -> bool:
-        """Hear the lines that these bytes end; False where there are none, at the peer's end."""
-        if self.deaf or not data:
+    def _handle_input(self, data: bytes) -> bool:
+        """Handle the lines that these bytes complete; False without any bytes, at the end of the input."""
+        if self.discarding or not data:
             return bool(data)
         try:
-            for line in self.lines.feed(data):
+            for line in self.input.feed(data):
                 if TRACE and TRACE in line:
-                    log.info("heard", peer=self.peer, line=line.decode("utf-8", "replace"))
+                    log.info("received", peer=self.peer, line=line.decode("utf-8", "replace"))
                 try:
-                    self._heard(self, line)
+                    self._on_line(self, line)
                 except Exception:
-                    # One line that we cannot deal with must not cost what else this connection carries.
-                    log.exception("a fault of ours; the line is passed over", peer=self.peer)
-                if self.closed or self.deaf:
+                    # One line that fails must not harm what else this connection carries.
+                    log.exception("internal error; the line is skipped", peer=self.peer)
+                if self.closed or self.discarding:
                     break
-        except TooLong as fault:
-            self._spoilt(self, fault)
+        except LineTooLongError as error:
+            self._on_oversized(self, error)
         return True
 
     def _end(self) -> None:
-        """Once, however it ended."""
+        """Release the socket and call `on_closed`, once, however the connection ended."""
         if self._ended:
             return
-        # Half closed it had everything, if it closed in its turn; reset, it may have read nothing.
+        # If we half-closed it and the peer closed in its turn, it has read everything; after a reset it may
+        # have read nothing.
         self.broken |= not self.closed and not (self.half_closed and not self.cause)
         self.closed = self._ended = True
         if TRACE:
@@ -209,4 +221,4 @@
                 greenlet.kill(block=False)
         with suppress(OSError):
             self.sock.close()
-        self._lost(self)
+        self._on_closed(self)
--- a/herongap/node/resolver.py
+++ b/herongap/node/resolver.py
@@ -1,4 +1,4 @@
-"""Asks the resolver over UDP, again and again; what is believed of an answer is `platform.roster`'s."""
+"""Polls the resolver for the streamer list over UDP; `platform.streamer_list` parses the answers."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -8,82 +8,94 @@
 import structlog
 from gevent import socket
 
-from herongap.platform.roster import Doubtful, Roster, answer, query
+from herongap.platform.streamer_list import InvalidAnswerError, StreamerList, encode_query, parse_answer
 
 Address = tuple[str, int]
-EVERY, PATIENCE = 0.4, 0.25  # seconds between two questions; for one answer
+POLL_INTERVAL_SECONDS, ANSWER_TIMEOUT_SECONDS = 0.4, 0.25
+RETRY_DELAY_SECONDS = 0.02
+SILENT_AFTER_FAILURES = 8  # consecutive queries without a valid answer
 log = structlog.get_logger()
 
 
 class Resolver:
-    """Calls `told` with each list that is newer than the last. `address` may change between two questions."""
+    """Calls `on_list` with each list that is newer than the last.
 
-    def __init__(self, address: Address, seed: int, racks: int, serial: int, told: Callable[[Roster], None]):
-        self.address, self.racks, self.serial, self.told = address, racks, serial, told
-        self.seed, self.asked, self.bad = seed, 0, 0
-        self._last = b""
-        self._sock: socket.socket | None = None
-        self._reached: Address | None = None
-        self.nudge = gevent.event.Event()
+    `address` may change between two queries; setting `poll_now` sends the next query without delay.
+    """
+
+    def __init__(
+        self,
+        address: Address,
+        seed: int,
+        racks: int,
+        serial: int,
+        on_list: Callable[[StreamerList], None],
+    ):
+        self.address, self.racks, self.serial, self.on_list = address, racks, serial, on_list
+        self.seed, self.query_count, self.failures = seed, 0, 0
+        self._last_answer = b""
+        self._socket: socket.socket | None = None
+        self._connected_to: Address | None = None
+        self.poll_now = gevent.event.Event()
 
     def run(self) -> None:
-        """Ask for ever."""
+        """Send queries; never returns."""
         while True:
-            heard = False
+            answered = False
             try:
-                heard = self._ask()
-            except OSError as fault:
-                log.debug("resolver not asked", cause=str(fault))
-                self._reached = None  # its socket is made anew
+                answered = self._query()
+            except OSError as error:
+                log.debug("cannot query the resolver", cause=str(error))
+                self._connected_to = None  # so that the next query opens a new socket
             except Exception:
-                log.exception("a fault of ours; the resolver is asked again")
-            if heard and self.bad >= 8:
-                log.info("resolver back", after=self.bad)
-            self.bad = 0 if heard else self.bad + 1
-            if self.bad == 8:
-                log.warning("resolver silent", address="{}:{}".format(*self.address))
-            self.nudge.clear()
-            self.nudge.wait(EVERY if heard else 0.02)
+                log.exception("internal error; the resolver is queried again")
+            if answered and self.failures >= SILENT_AFTER_FAILURES:
+                log.info("resolver answers again", after=self.failures)
+            self.failures = 0 if answered else self.failures + 1
+            if self.failures == SILENT_AFTER_FAILURES:
+                log.warning("resolver does not answer", address="{}:{}".format(*self.address))
+            self.poll_now.clear()
+            self.poll_now.wait(POLL_INTERVAL_SECONDS if answered else RETRY_DELAY_SECONDS)
 
-    def _ask(self) -> bool:
-        """One question; whether it was answered well."""
-        self.asked += 1
-        # Ids that cannot be foretold, so that nobody else's packet passes for the answer.
-        number = crc32(b"%d:%d" % (self.seed, self.asked)) & 0xFFFF
-        sock = self._reach(self.address)
-        sock.send(query(number))
-        with gevent.Timeout(PATIENCE, False), suppress(ConnectionError):
+    def _query(self) -> bool:
+        """Send one query; whether it got a valid answer."""
+        self.query_count += 1
+        # The ids are hard to predict, so that no other sender's packet passes for the answer.
+        query_id = crc32(b"%d:%d" % (self.seed, self.query_count)) & 0xFFFF
+        sock = self._connected_socket(self.address)
+        sock.send(encode_query(query_id))
+        with gevent.Timeout(ANSWER_TIMEOUT_SECONDS, False), suppress(ConnectionError):
             while True:
                 data = sock.recv(65535)
-                if data[:2] == number.to_bytes(2, "big") and self._take(data, number):
+                if data[:2] == query_id.to_bytes(2, "big") and self._handle_answer(data, query_id):
                     return True
         return False
 
-    def _reach(self, address: Address) -> socket.socket:
-        """The socket, connected: the system drops what comes from any other address.
+    def _connected_socket(self, address: Address) -> socket.socket:
+        """Return a socket connected to `address`, so that the system drops packets from any other.
 
-        One for all questions: with no descriptor left, one that had to be opened for each would fall silent.
+        All queries share one socket: with no descriptor left, a new one for each query could not be opened.
         """
-        if self._reached != address:
-            if self._sock:
-                self._sock.close()
-            self._reached, self._sock = None, socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self._sock.connect(address)
-            self._reached = address
-        return self._sock
+        if self._connected_to != address:
+            if self._socket:
+                self._socket.close()
+            self._connected_to, self._socket = None, socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            self._socket.connect(address)
+            self._connected_to = address
+        return self._socket
 
-    def _take(self, data: bytes, number: int) -> bool:
-        if data[2:] == self._last:
+    def _handle_answer(self, data: bytes, query_id: int) -> bool:
+        if data[2:] == self._last_answer:
             return True
         try:
-            roster = answer(data, number, self.racks)
-        except Doubtful as fault:
-            log.debug("resolver's answer not taken", cause=str(fault))
+            streamer_list = parse_answer(data, query_id, self.racks)
+        except InvalidAnswerError as error:
+            log.debug("invalid answer of the resolver", cause=str(error))
             return False
-        if roster.serial < self.serial:
-            return False  # older than what is known: drains that were heard must not be forgotten
-        self._last = data[2:]
-        if roster.serial > self.serial:
-            self.serial = roster.serial
-            self.told(roster)
+        if streamer_list.serial < self.serial:
+            return False  # older than the list in use: a drain that is known must not be undone
+        self._last_answer = data[2:]
+        if streamer_list.serial > self.serial:
+            self.serial = streamer_list.serial
+            self.on_list(streamer_list)
         return True
--- a/herongap/node/run.py
+++ b/herongap/node/run.py
@@ -1,4 +1,4 @@
-"""One controller on the platform put together: host, port, viewers, resolver, signals, and an orderly end."""
+"""Assembles one controller on the platform: host, port, viewers, resolver, signals, graceful shutdown."""
 
 import os
 import signal
@@ -16,169 +16,187 @@
 from herongap.limiter import ConnectionLimiter
 from herongap.node.connection import TRACE
 from herongap.node.resolver import Resolver
-from herongap.node.streamers import Streamers
+from herongap.node.streamers import StreamerPort
 from herongap.node.viewers import Viewers
-from herongap.platform.launch import Fault, Launch, read
-from herongap.platform.roster import Roster
+from herongap.platform.config import ConfigError, NodeConfig, parse_config
 from herongap.platform.shutdown import GracefulShutdown
+from herongap.platform.streamer_list import StreamerList
 
-TEND = 0.25  # seconds between two looks at what has gone quiet
-FIGURES = 5.0  # seconds between two lines of figures in the log
-LOOK = 0.05  # seconds between two looks at how late the process is
-MOST = 5  # lines of one kind that are logged a second
+MAINTENANCE_INTERVAL_SECONDS = 0.25
+FIGURES_INTERVAL_SECONDS = 5.0  # between two log lines with the process's figures
+LAG_CHECK_INTERVAL_SECONDS = 0.05
+SHUTDOWN_POLL_SECONDS = 0.02
+MAX_LOG_LINES_PER_SECOND = 5  # of one event
 log = structlog.get_logger()
 
 
 def unix_clock():
-    """The system's Unix clock, which never steps back after the start.
+    """Return a function for the system's Unix time that never steps back after this call.
 
-    Controllers share the slots of cold streamers by it, and starts of streamers are told in it.
+    Controllers divide the slots of starting streamers among them by it, and the start times of streamers are
+    Unix times.
     """
     base = time.time() - time.monotonic()
     return lambda: base + time.monotonic()
 
 
 class Node:
-    """A controller from its configuration to its end."""
+    """One controller; `path` is its configuration file."""
 
     def __init__(self, path: str, clock=None):
         self.path, self.clock = path, clock or unix_clock()
-        self.launch = load(path)
-        launch = self.launch
-        self.port = Streamers(launch, self.clock)
+        self.config = load_config(path)
+        config = self.config
+        self.port = StreamerPort(config, self.clock)
         now = self.clock()
-        self.host = Host(now, launch.seed, launch.charter, self.port)
+        self.host = Host(now, config.seed, config.deployment, self.port)
         self.port.host = self.host
-        limiter = ConnectionLimiter(launch.sockets // 2, launch.sockets // 2 + launch.sockets // 20)
-        self.viewers = self.port.viewers = Viewers(launch, self.host, limiter, self.clock)
-        self.resolver = Resolver(launch.resolver, launch.seed, launch.racks, launch.known.serial, self._told)
+        limiter = ConnectionLimiter(config.sockets // 2, config.sockets // 2 + config.sockets // 20)
+        self.viewers = self.port.viewers = Viewers(config, self.host, limiter, self.clock)
+        self.resolver = Resolver(
+            config.resolver, config.seed, config.racks, config.initial_list.serial, self._on_list
+        )
         self.stopped, self.stopping = Event(), False
 
     def start(self) -> None:
-        """Listen; raises OSError."""
-        self._take("remembered", self.launch.known)
-        listener = listen(self.launch.listen)
+        """Begin to listen and to poll the resolver; raises OSError."""
+        self._apply_list("remembered", self.config.initial_list)
+        listener = listen(self.config.listen)
         self.viewers.ready = True
-        runs = (self.port.run, self.resolver.run, self._tend, self._feel)
-        self._greenlets = [gevent.spawn(run) for run in runs]
+        loops = (self.port.run, self.resolver.run, self._maintain, self._measure_lag)
+        self._greenlets = [gevent.spawn(loop) for loop in loops]
         self._greenlets.append(gevent.spawn(self.viewers.accept, listener))
-        log.info("ready", name=self.launch.name, streamers=len(self.launch.known.lines), pid=os.getpid())
+        streamers = len(self.config.initial_list.entries)
+        log.info("ready", name=self.config.name, streamers=streamers, pid=os.getpid())
 
     def reload(self) -> None:
-        """Take the configuration's new resolver; a file that cannot be used changes nothing."""
+        """Use the resolver of the changed configuration file; a file that cannot be used changes nothing."""
         try:
-            launch = load(self.path)
-        except (OSError, Fault) as fault:
-            log.error("configuration not taken, all stays as it was", cause=str(fault),
-                      advice=getattr(fault, "advice", "see that the file can be read"))  # fmt: skip
+            config = load_config(self.path)
+        except (OSError, ConfigError) as error:
+            log.error("configuration not reloaded, nothing changes", cause=str(error),
+                      advice=getattr(error, "advice", "see that the file can be read"))  # fmt: skip
             return
-        self.resolver.address = launch.resolver
-        self.resolver.nudge.set()
-        log.info("reloaded", resolver="{}:{}".format(*launch.resolver))
+        self.resolver.address = config.resolver
+        self.resolver.poll_now.set()
+        log.info("reloaded", resolver="{}:{}".format(*config.resolver))
 
     def stop(self) -> None:
-        """Take what still comes, answer all that was taken, then end."""
+        """Accept what still arrives, answer everything that was accepted, then end."""
         if self.stopping:
             return
         self.stopping = True
-        shutdown = GracefulShutdown(self.clock(), self.launch.longest)
+        shutdown = GracefulShutdown(self.clock(), self.config.longest_deadline)
         log.info("stopping", held=len(self.host.viewings))
-        while shutdown.listens(self.clock()):
-            gevent.sleep(0.02)
-        # Once more round: what a late process has not accepted yet would be reset with the listener.
-        gevent.sleep(0.02)
+        while shutdown.is_listening(self.clock()):
+            gevent.sleep(SHUTDOWN_POLL_SECONDS)
+        # One more round: in a process that runs late, connections that are not accepted yet would be reset
+        # together with the listener.
+        gevent.sleep(SHUTDOWN_POLL_SECONDS)
         self.viewers.stop()
-        while not self._over(shutdown):
-            gevent.sleep(0.02)
-        self.viewers.leave()
+        while not self._is_shutdown_complete(shutdown):
+            gevent.sleep(SHUTDOWN_POLL_SECONDS)
+        self.viewers.close_all()
         log.info("stopped", left=len(self.host.viewings), **self.host.counts)
         self.stopped.set()
 
-    def _over(self, shutdown: GracefulShutdown) -> bool:
-        waiting, unsettled, playing = self.viewers.pending()
-        return shutdown.over(self.clock(), waiting, unsettled + self.port.owing(), playing)
+    def _is_shutdown_complete(self, shutdown: GracefulShutdown) -> bool:
+        waiting, busy, playing = self.viewers.unfinished()
+        return shutdown.is_complete(self.clock(), waiting, busy + self.port.unsent_count(), playing)
 
     def close(self) -> None:
-        """Cut everything at once."""
+        """Close everything at once."""
         self.viewers.stop()
         gevent.killall(self._greenlets, block=False)
-        for conn in (*self.viewers.connections, *self.port.lines()):
-            conn.close()
+        for connection in (*self.viewers.connections, *self.port.connections()):
+            connection.close()
 
-    def beliefs(self) -> dict[str, tuple]:
-        """Of each streamer: viewings held, what is asked of its link and uplink over what these give."""
-        now, known = self.clock(), self.host.module.state
+    def load_estimates(self) -> dict[str, tuple]:
+        """Return for each streamer its viewings, and the estimated utilization of its link and its rack."""
+        now, state = self.clock(), self.host.module.state
 
-        def use(pipe) -> float:
-            return round(pipe.utilization(now, known.usual_load), 3)
+        def utilization(link) -> float:
+            return round(link.utilization(now, state.usual_load), 3)
 
-        return {name: (len(st.viewings), use(st.link), use(st.rack)) for name, st in known.streamers.items()}
+        return {
+            name: (len(streamer.viewings), utilization(streamer.link), utilization(streamer.rack))
+            for name, streamer in state.streamers.items()
+        }
 
-    def _told(self, roster: Roster) -> None:
+    def _on_list(self, streamer_list: StreamerList) -> None:
         before = self.host.statuses
-        now = {name: line.status for name, line in roster.lines.items()}
-        changed = {n: s.name.lower() for n, s in now.items() if before.get(n) is not s}
-        log.info("list", serial=roster.serial, streamers=len(now), changed=changed,
+        now = {name: entry.status for name, entry in streamer_list.entries.items()}
+        changed = {
+            name: status.name.lower() for name, status in now.items() if before.get(name) is not status
+        }
+        log.info("list", serial=streamer_list.serial, streamers=len(now), changed=changed,
                  left=sorted(set(before) - set(now)))  # fmt: skip
-        self._take("whole", roster)
-
-    def _take(self, kind: str, roster: Roster) -> None:
-        self.port.listed(roster.addresses)
-        self.host.listed(self.clock(), kind, roster.lines.values())
-        self.port.replaced()
-        for name, line in roster.lines.items():
-            if line.started:
-                self._restarted(name, line.started)
-
-    def _restarted(self, name: str, since: float) -> None:
-        """What a streamer played before its newest start is over, also where it was back before its silence
-        could tell: on the connections that follow a new process answers, and knows nothing of it.
+        self._apply_list("whole", streamer_list)
+
+    def _apply_list(self, kind: str, streamer_list: StreamerList) -> None:
+        self.port.listed(streamer_list.addresses)
+        self.host.listed(self.clock(), kind, streamer_list.entries.values())
+        self.port.remove_replaced()
+        for name, entry in streamer_list.entries.items():
+            if entry.started:
+                self._end_viewings_before(name, entry.started)
+
+    def _end_viewings_before(self, name: str, started: float) -> None:
+        """End what a streamer played before its newest start.
+
+        A streamer may be back before its silence is noticed: then a new process, which knows nothing of the
+        viewings, answers on the connections that follow.
         """
-        lives = self.host.viewings
-        before = [(vw, number) for vw, number in self.host.playing_at(name) if lives[vw].sent_at < since]
-        if before:
-            log.warning("streamer lost", streamer=name, viewings=len(before), cause="restarted")
-        for viewing, number in before:
+        viewings = self.host.viewings
+        lost = [
+            (viewing, number)
+            for viewing, number in self.host.playing_at(name)
+            if viewings[viewing].sent_at < started
+        ]
+        if lost:
+            log.warning("streamer lost", streamer=name, viewings=len(lost), cause="restarted")
+        for viewing, number in lost:
             self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
-    def _feel(self) -> None:
-        """How late this process comes to what it has set itself a time for."""
+    def _measure_lag(self) -> None:
+        """Measure how late this process runs its timers."""
         while True:
-            due = self.clock() + LOOK
-            gevent.sleep(LOOK)
+            due = self.clock() + LAG_CHECK_INTERVAL_SECONDS
+            gevent.sleep(LAG_CHECK_INTERVAL_SECONDS)
             self.viewers.limiter.record_lag(self.clock() - due)
 
-    def _tend(self) -> None:
-        told = self.clock()
-        worst = 0.0
+    def _maintain(self) -> None:
+        """Run the periodic maintenance, and log figures of the process."""
+        logged_at = self.clock()
+        max_lag = 0.0
         while True:
-            due = self.clock() + TEND
-            gevent.sleep(TEND)
-            worst = max(worst, self.clock() - due)
-            for tend in (self.viewers.tend, self.port.tend):
+            due = self.clock() + MAINTENANCE_INTERVAL_SECONDS
+            gevent.sleep(MAINTENANCE_INTERVAL_SECONDS)
+            max_lag = max(max_lag, self.clock() - due)
+            for maintain in (self.viewers.maintain, self.port.maintain):
                 try:
-                    tend()
+                    maintain()
                 except Exception:
-                    log.exception("a fault of ours; the next look goes on")
-            if self.clock() - told >= FIGURES:
-                told = self.clock()
+                    log.exception("internal error; maintenance continues")
+            if self.clock() - logged_at >= FIGURES_INTERVAL_SECONDS:
+                logged_at = self.clock()
                 log.info(
                     "figures",
                     held=len(self.host.viewings),
                     viewers=len(self.viewers.connections),
-                    streamers=len(self.port.lines()),
-                    behind=round(worst, 3),
+                    streamers=len(self.port.connections()),
+                    behind=round(max_lag, 3),
                     cpu=round(time.process_time(), 2),
                     **self.host.counts,
                 )
-                log.debug("beliefs", streamers=self.beliefs())
-                worst = 0.0
+                log.debug("beliefs", streamers=self.load_estimates())
+                max_lag = 0.0
 
 
-def load(path: str) -> Launch:
-    """The configuration at `path`; raises OSError or Fault."""
+def load_config(path: str) -> NodeConfig:
+    """Return the configuration at `path`; raises OSError or ConfigError."""
     with open(path, "rb") as file:
-        return read(file.read())
+        return parse_config(file.read())
 
 
 def run(path: str) -> None:
@@ -192,13 +210,14 @@
 
 
 def main() -> None:
-    """The program: what it needs is in the environment, and what it cannot start with ends it with a word."""
-    observe.set_up(os.environ.get("HERONGAP_LOG", "info"), "json", "-", most=0 if TRACE else MOST)
+    """Run the controller that the environment describes; if it cannot start, say why and exit."""
+    most = 0 if TRACE else MAX_LOG_LINES_PER_SECOND
+    observe.set_up(os.environ.get("HERONGAP_LOG", "info"), "json", "-", most=most)
     if not (path := os.environ.get("PROXY_CONFIG")):
         sys.exit("herongap: PROXY_CONFIG is not set")
     try:
         run(path)
-    except Fault as fault:
-        sys.exit(f"herongap: cannot start: {fault}\n{fault.advice}")
-    except OSError as fault:
-        sys.exit(f"herongap: cannot start: {fault}\nsee that the file can be read and the address is free")
+    except ConfigError as error:
+        sys.exit(f"herongap: cannot start: {error}\n{error.advice}")
+    except OSError as error:
+        sys.exit(f"herongap: cannot start: {error}\nsee that the file can be read and the address is free")
--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -1,6 +1,7 @@
-"""The port of the host: its decisions as messages to streamers and viewers, and what streamers say back.
+"""The host's port on the platform: sends decisions to streamers and viewers, handles messages of streamers.
 
-A connection carries one set-up at a time. What spoils it, or breaks it, then harms no other viewing.
+A connection carries one set-up at a time, so that an invalid answer or a broken connection harms no other
+viewing. Only when descriptors are short do set-ups share a connection.
 """
 
 from collections import Counter
@@ -22,115 +23,130 @@
     StreamerLiveness,
 )
 from herongap.interface import EndReason, LoadReport, ViewingRequest
-from herongap.node.upstream import Address, Attempt, Line, Upstream, dial, unreached
+from herongap.node.upstream import Address, Attempt, StreamerConnection, Upstream, dial, dial_failure
 from herongap.platform import messages
-from herongap.platform.launch import Launch
-from herongap.platform.messages import Message, Unfit, Unreadable
+from herongap.platform.config import NodeConfig
+from herongap.platform.messages import InvalidFieldError, MalformedMessageError, Message
 
+PROBE_TIMEOUT_SECONDS = 0.5
 log = structlog.get_logger()
 
 
-class Streamers:
-    """Carries between the host and the streamers. `viewers` gets what is for viewers."""
+class StreamerPort:
+    """Carries messages between the host and the streamers; `viewers` gets what is for viewers."""
 
-    def __init__(self, launch: Launch, clock: Callable[[], float]):
-        self.connect, self.clock = launch.connect, clock
-        # Descriptors: beyond `most` set-ups share connections, beyond `limit` none is dialled.
-        self.most, self.limit = launch.sockets // 3, launch.sockets // 3 + launch.sockets // 20
-        # Connections that have been still for longer may be closed there while a set-up is on its way.
-        self.idle = max(launch.idle - launch.connect, launch.idle / 2) or inf
-        self.late = launch.longest + messages.OWED  # the answer to what was given up is known for so long
+    def __init__(self, config: NodeConfig, clock: Callable[[], float]):
+        self.connect_timeout, self.clock = config.connect_timeout, clock
+        # Descriptors: beyond `share_above` connections set-ups share them, beyond `max_connections` none is
+        # dialled.
+        self.share_above = config.sockets // 3
+        self.max_connections = config.sockets // 3 + config.sockets // 20
+        # A streamer may close a connection that was idle for longer while a set-up is on its way.
+        self.idle_limit = max(config.idle_timeout - config.connect_timeout, config.idle_timeout / 2) or inf
+        # How long a cancelled tune-in is remembered, so that a late answer to it is recognised.
+        self.late_answer_seconds = config.longest_deadline + messages.RELEASE_RETENTION_SECONDS
         self.liveness_times = (
-            PAID_TEST_TIMES if launch.tests_paid else (TESTED_LOST_AFTER_SECONDS, TEST_INTERVAL_SECONDS)
+            PAID_TEST_TIMES
+            if config.heartbeats_charged
+            else (TESTED_LOST_AFTER_SECONDS, TEST_INTERVAL_SECONDS)
         )
         self.host: Host | None = None
         self.viewers = None
         self.upstreams: dict[str, Upstream] = {}
         self.attempts: dict[tuple[str, str], Attempt] = {}
-        self.given_up: dict[tuple[str, str], float] = {}
-        # Ends of viewings that nobody has handed over yet: a release may come before the set-up with `at`.
-        self.released: dict[tuple[str, str], tuple[EndReason, float]] = {}
+        self.cancelled: dict[tuple[str, str], float] = {}
+        # Ends of viewings that no viewer has handed over yet: a release may come before the set-up with `at`.
+        self.early_releases: dict[tuple[str, str], tuple[EndReason, float]] = {}
         self.alarm = Alarm(clock)
-        self._tests = count(1)
+        self._heartbeat_ids = count(1)
         self.probes: dict[str, tuple[str, float]] = {}
 
-    # What the list says of addresses.
+    # Changes of the streamer list.
 
     def listed(self, addresses: dict[str, Address]) -> None:
-        """Where each streamer of the newest list listens. One that has gone is kept while it plays for us."""
+        """Take the addresses of the newest list; a streamer that has left is kept while it plays viewings."""
         now = self.clock()
         for name, address in addresses.items():
             if (upstream := self.upstreams.get(name)) is None:
                 self.upstreams[name] = Upstream(name, address, StreamerLiveness(now, *self.liveness_times))
             elif upstream.address != address:
-                # Its own lines go with it; viewings that it still has are told of on the next.
-                upstream.address, upstream.shut = address, 0.0
-                for line in upstream.lines:
-                    line.half_close()
+                # The old connections are closed; the ends of viewings that it still has come on the next.
+                upstream.address, upstream.redial_at = address, 0.0
+                for connection in upstream.connections:
+                    connection.half_close()
         for name, upstream in self.upstreams.items():
-            upstream.gone = name not in addresses
+            upstream.delisted = name not in addresses
 
-    def replaced(self) -> None:
-        """To be called when the host has the list too: what ends here may be decided on anew at once."""
-        taken = {upstream.address for upstream in self.upstreams.values() if not upstream.gone}
+    def remove_replaced(self) -> None:
+        """End what played at streamers whose address another one has now.
+
+        To be called when the host has the list too: it may decide at once where these viewings go.
+        """
+        taken = {upstream.address for upstream in self.upstreams.values() if not upstream.delisted}
         for upstream in list(self.upstreams.values()):
-            if upstream.gone and upstream.address in taken:
-                # Another one listens there now: whatever answers is not the one that played for us.
-                self._gone(upstream, "replaced")
+            if upstream.delisted and upstream.address in taken:
+                # Whatever answers there is not the streamer that played these viewings.
+                self._streamer_lost(upstream, "replaced")
 
-    # The port.
+    # The host's port.
 
-    def tune_in(self, ask: ViewingRequest, number: int, streamer: str, rung: int, time_out: float) -> None:
-        attempt = self.attempts[streamer, ask.viewing] = Attempt(ask, number, rung, self.clock() + time_out)
-        # Not from within the host's call: all that the system has told by now is heard first.
-        gevent.spawn(self._leave, self.upstreams[streamer], attempt)
+    def tune_in(
+        self, request: ViewingRequest, number: int, streamer: str, rung: int, time_out: float
+    ) -> None:
+        attempt = Attempt(request, number, rung, self.clock() + time_out)
+        self.attempts[streamer, request.viewing] = attempt
+        # Not within the host's call: input that has arrived by now is handled first.
+        gevent.spawn(self._start_attempt, self.upstreams[streamer], attempt)
 
-    def lines(self) -> list[Line]:
-        """All connections to streamers."""
-        return [line for upstream in self.upstreams.values() for line in upstream.lines]
+    def connections(self) -> list[StreamerConnection]:
+        """Return all connections to streamers."""
+        return [connection for upstream in self.upstreams.values() for connection in upstream.connections]
 
-    def owing(self) -> int:
-        """To how many streamers something is still to be told, or has not left whole."""
-        return sum(one.unsettled(self.clock()) for one in self.upstreams.values())
+    def unsent_count(self) -> int:
+        """Return to how many streamers a message is pending or has not been written in full."""
+        return sum(upstream.has_unsent(self.clock()) for upstream in self.upstreams.values())
 
-    def room(self, most: int | None = None) -> bool:
-        """Whether descriptors are left for a connection of its own to each set-up."""
-        return sum(len(one.lines) + one.connecting for one in self.upstreams.values()) < (most or self.most)
+    def has_room(self, limit: int | None = None) -> bool:
+        """Whether there are fewer connections than `limit`; by default, whether a set-up may have its own."""
+        in_use = sum(len(upstream.connections) + upstream.connecting for upstream in self.upstreams.values())
+        return in_use < (limit or self.share_above)
 
-    def ended(self, viewing: str, streamer: str) -> EndReason | None:
-        """How a viewing that is handed over only now has ended already, if it has."""
-        return self.released.pop((streamer, viewing), (None,))[0]
+    def pop_early_release(self, viewing: str, streamer: str) -> EndReason | None:
+        """Return how a viewing that is handed over only now has ended already, None if it has not."""
+        return self.early_releases.pop((streamer, viewing), (None,))[0]
 
     def call_off(self, viewing: str, number: int, streamer: str) -> None:
         if attempt := self.attempts.pop((streamer, viewing), None):
-            self._take_back(self.upstreams[streamer], attempt)
+            self._cancel(self.upstreams[streamer], attempt)
 
     def set_rung(self, viewing: str, number: int, streamer: str, rung: int) -> None:
-        self._say(self.upstreams[streamer], messages.step(viewing, rung))
+        self._deliver(self.upstreams[streamer], messages.encode_step(viewing, rung))
 
     def tear_down(self, viewing: str, number: int, streamer: str, wanted: bool) -> None:
         if upstream := self.upstreams.get(streamer):
             self._release(upstream, viewing)
         if wanted:
-            self.viewers.moved(viewing)
+            self.viewers.viewing_moved(viewing)
 
     def answer(self, viewing: str, answer: Answer) -> None:
         self.viewers.answer(viewing, answer)
 
     def viewing_ended(self, viewing: str, how: EndReason) -> None:
-        self.viewers.over(viewing, how)
+        self.viewers.viewing_ended(viewing, how)
 
     def probe(self, streamer: str) -> None:
-        ref = self._test()
+        ref = self._next_heartbeat_id()
         self.probes[ref] = streamer, self.clock()
-        self._say(self.upstreams[streamer], messages.hb(ref))
+        self._deliver(self.upstreams[streamer], messages.encode_heartbeat(ref))
 
-    def follow(self) -> None: ...  # the resolver is asked from the start
+    def follow(self) -> None: ...  # the resolver is polled from the start
 
     def send_to_peer(self, peer: int, words: bytes) -> None:
-        log.warning("no way to controllers", peer=peer)
+        log.warning("no connection to other controllers", peer=peer)
 
-    def request_budget(self, whole: str) -> None: ...  # the platform has no store to divide wholes through
+    def request_budget(
+        self, whole: str
+    ) -> None: ...  # the platform has no store to divide fleet budgets through
 
     def wake(self, at: float) -> None:
         self.alarm.set(at)
@@ -139,272 +155,302 @@
         """Wake the host whenever it asked to be; never returns."""
         self.alarm.run(lambda now: self.host.woke(now))
 
-    # Connections.
+    # Connections and tune-ins.
 
-    def _open(self, upstream: Upstream, time_out: float) -> Line:
-        """A new connection; raises OSError."""
-        if not self.room(self.limit):
+    def _connect(self, upstream: Upstream, time_out: float) -> StreamerConnection:
+        """Open a connection; raises OSError."""
+        if not self.has_room(self.max_connections):
             raise OSError(EMFILE, "as many connections to streamers as descriptors allow")
         upstream.connecting, address = upstream.connecting + 1, upstream.address
         try:
             sock = dial(address, time_out)
         finally:
             upstream.connecting -= 1
-            upstream.settled.set()
+            upstream.dial_finished.set()
         if upstream.address != address:
             sock.close()
-            raise ConnectionAbortedError("its address changed: whoever listens there now is another")
-        line = Line(sock, upstream, self._heard, self._lost, self.clock())
-        upstream.lines.add(line)
-        upstream.reset = False
-        upstream.pay(line, self.clock())
-        return line
-
-    def _leave(self, upstream: Upstream, attempt: Attempt) -> None:
-        """Send a tune-in on its way, on a connection that may have to come up first."""
-        key, fresh = (upstream.name, attempt.ask.viewing), None
-        while self._stays(upstream, attempt):
-            line = fresh or upstream.sound(self.room(), self.clock(), self.idle)
-            if line and not line.closed:
-                self._send(line, attempt)
+            raise ConnectionAbortedError("the streamer's address changed while it was dialled")
+        connection = StreamerConnection(sock, upstream, self._on_line, self._on_closed, self.clock())
+        upstream.connections.add(connection)
+        upstream.last_was_reset = False
+        upstream.deliver_pending(connection, self.clock())
+        return connection
+
+    def _start_attempt(self, upstream: Upstream, attempt: Attempt) -> None:
+        """Send a tune-in, on a connection that may have to be opened first."""
+        key, opened = (upstream.name, attempt.request.viewing), None
+        while self._may_send(upstream, attempt):
+            connection = opened or upstream.healthy_connection(self.has_room(), self.clock(), self.idle_limit)
+            if connection and not connection.closed:
+                self._send_set_up(connection, attempt)
                 return
-            if not fresh and upstream.connecting and not self.room():
-                # Descriptors are short: one that is only coming up for another set-up will do.
-                upstream.settle(attempt.until - self.clock())
+            if not opened and upstream.connecting and not self.has_room():
+                # Descriptors are short: wait for a connection that is being opened for another set-up.
+                upstream.wait_for_dial(attempt.deadline - self.clock())
                 continue
             try:
-                if fresh:
-                    raise ConnectionAbortedError("closed as soon as it was up")
-                fresh = self._open(upstream, max(0.01, min(self.connect, attempt.until - self.clock())))
-            except OSError as fault:
+                if opened:
+                    raise ConnectionAbortedError("closed as soon as it was open")
+                time_out = max(0.01, min(self.connect_timeout, attempt.deadline - self.clock()))
+                opened = self._connect(upstream, time_out)
+            except OSError as error:
                 if self.attempts.get(key) is attempt:
                     del self.attempts[key]
-                    log.info("streamer not reached", streamer=upstream.name, cause=str(fault))
-                    self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, *unreached(fault))
+                    log.info("streamer not reached", streamer=upstream.name, cause=str(error))
+                    self.host.ended(
+                        self.clock(), attempt.request.viewing, attempt.number, *dial_failure(error)
+                    )
                 return
 
-    def _stays(self, upstream: Upstream, attempt: Attempt) -> bool:
-        """Whether a tune-in may still leave, here and now: nothing runs between this and its sending."""
-        viewing, key = attempt.ask.viewing, (upstream.name, attempt.ask.viewing)
-        # What is due comes first, also in a process that is late; and whoever asked may have gone meanwhile.
+    def _may_send(self, upstream: Upstream, attempt: Attempt) -> bool:
+        """Whether a tune-in may still be sent now; nothing else runs between this check and its sending."""
+        viewing, key = attempt.request.viewing, (upstream.name, attempt.request.viewing)
+        # Due timers run first, also in a process that is late; and the viewer may have gone meanwhile.
         self.host.woke(self.clock())
-        while self.attempts.get(key) is attempt and not self.viewers.look(viewing):
+        while self.attempts.get(key) is attempt and not self.viewers.read_available(viewing):
             gevent.sleep(0)
         if self.attempts.get(key) is not attempt:
             return False
         if self.host.sendable(viewing, attempt.number, self.clock()):
             return True
-        # Its drain was heard meanwhile: it never left, and the streamer is sound.
+        # The streamer began to drain meanwhile: the tune-in was never sent, and the streamer is healthy.
         del self.attempts[key]
         self.host.ended(self.clock(), viewing, attempt.number, EndReason.FULL, LoadReport())
         return False
 
-    def _send(self, line: Line, attempt: Attempt) -> None:
-        attempt.line, line.attempts[attempt.ask.viewing] = line, attempt
-        offer = self.viewers.description(attempt.ask.viewing)
-        attempt.sent = messages.set_up(attempt.ask, attempt.rung, attempt.until - self.clock(), offer)
-        line.send(attempt.sent)  # what becomes of one that cannot be written its line's end tells the host
-
-    def _say(self, upstream: Upstream, message: bytes, line: Line | None = None, release: str = "") -> None:
-        """Something that concerns no set-up that is out: on any connection, else on the next."""
+    def _send_set_up(self, connection: StreamerConnection, attempt: Attempt) -> None:
+        attempt.connection, connection.attempts[attempt.request.viewing] = connection, attempt
+        offer = self.viewers.offer(attempt.request.viewing)
+        time_left = attempt.deadline - self.clock()
+        attempt.sent = messages.encode_set_up(attempt.request, attempt.rung, time_left, offer)
+        connection.send(attempt.sent)  # if it cannot be written, the connection's end reports it to the host
+
+    def _deliver(
+        self,
+        upstream: Upstream,
+        message: bytes,
+        connection: StreamerConnection | None = None,
+        release: str = "",
+    ) -> None:
+        """Send a message that belongs to no pending set-up, on any connection or else on the next one."""
         now = self.clock()
-        upstream.say(line or upstream.sound(False, now, self.idle), message, now + messages.OWED, release)
-        if upstream.owed:
-            self._need(upstream)
+        upstream.deliver(
+            connection or upstream.healthy_connection(False, now, self.idle_limit),
+            message,
+            now + messages.RELEASE_RETENTION_SECONDS,
+            release,
+        )
+        if upstream.pending:
+            self._ensure_connection(upstream)
 
-    def _release(self, upstream: Upstream, viewing: str, line: Line | None = None) -> None:
-        """Have a viewing let go there, on `line` if it may still be set up on that."""
-        self._say(upstream, messages.down(viewing, messages.ENDED), line, viewing)
+    def _release(
+        self, upstream: Upstream, viewing: str, connection: StreamerConnection | None = None
+    ) -> None:
+        """Have the streamer stop a viewing; `connection` is one on which it may still be being set up."""
+        self._deliver(upstream, messages.encode_down(viewing, messages.CAUSE_ENDED), connection, viewing)
 
-    def _need(self, upstream: Upstream) -> None:
-        if not upstream.connecting and self.clock() >= upstream.shut:
+    def _ensure_connection(self, upstream: Upstream) -> None:
+        if not upstream.connecting and self.clock() >= upstream.redial_at:
             upstream.connecting += 1
-            gevent.spawn(self._again, upstream)
+            gevent.spawn(self._redial, upstream)
 
-    def _again(self, upstream: Upstream) -> None:
+    def _redial(self, upstream: Upstream) -> None:
         upstream.connecting -= 1
         try:
-            self._open(upstream, self.connect)
+            self._connect(upstream, self.connect_timeout)
         except ConnectionRefusedError:
-            if upstream.refused(self.clock()):
-                self._gone(upstream, "refused")
-        except OSError as fault:
-            log.debug("streamer not reached", streamer=upstream.name, cause=str(fault))
-
-    def _take_back(self, upstream: Upstream, attempt: Attempt) -> None:
-        line = attempt.line
-        if not line or not line.attempts.pop(attempt.ask.viewing, None) or line.withdraw(attempt.sent):
-            return  # nothing of it has left
-        if line.unsent(attempt.sent) and not line.attempts:
-            line.close("taken back before it had left whole")  # sent whole it would be a set-up
+            if upstream.connection_refused(self.clock()):
+                self._streamer_lost(upstream, "refused")
+        except OSError as error:
+            log.debug("streamer not reached", streamer=upstream.name, cause=str(error))
+
+    def _cancel(self, upstream: Upstream, attempt: Attempt) -> None:
+        connection = attempt.connection
+        if (
+            not connection
+            or not connection.attempts.pop(attempt.request.viewing, None)
+            or connection.withdraw(attempt.sent)
+        ):
+            return  # nothing of it was sent
+        if connection.is_unsent(attempt.sent) and not connection.attempts:
+            connection.close("cancelled before it was sent in full")  # sent in full it would be a set-up
             return
-        self.given_up[upstream.name, attempt.ask.viewing] = self.clock() + self.late
-        self._release(upstream, attempt.ask.viewing, line)
-        if line.doubted is None and not line.closed:
-            # It bears the next set-up once it has shown that it lives.
-            line.doubted = self.clock()
-            line.send(messages.hb(self._test()))
-
-    def _test(self) -> str:
-        return f"{next(self._tests):016x}"
-
-    def _lost(self, line: Line) -> None:
-        upstream = line.upstream
-        upstream.lost(line)
-        if other := upstream.owed and upstream.sound(False, self.clock(), self.idle):
-            upstream.pay(other, self.clock())
-        if not upstream.gone and (
-            upstream.owed or (not line.half_closed and self.host.playing_at(upstream.name))
+        self.cancelled[upstream.name, attempt.request.viewing] = self.clock() + self.late_answer_seconds
+        self._release(upstream, attempt.request.viewing, connection)
+        if connection.suspected_at is None and not connection.closed:
+            # The connection carries no further set-up until the streamer has answered this heartbeat.
+            connection.suspected_at = self.clock()
+            connection.send(messages.encode_heartbeat(self._next_heartbeat_id()))
+
+    def _next_heartbeat_id(self) -> str:
+        return f"{next(self._heartbeat_ids):016x}"
+
+    def _on_closed(self, connection: StreamerConnection) -> None:
+        upstream = connection.upstream
+        upstream.connection_closed(connection)
+        if other := upstream.pending and upstream.healthy_connection(False, self.clock(), self.idle_limit):
+            upstream.deliver_pending(other, self.clock())
+        if not upstream.delisted and (
+            upstream.pending or (not connection.half_closed and self.host.playing_at(upstream.name))
         ):
-            # A release may have been lost with it; its streamer sends that again on the next that opens.
-            self._need(upstream)
-        for attempt in list(line.attempts.values()):  # what comes of one may take others back
-            key = upstream.name, attempt.ask.viewing
+            # A release may have been lost with it; the streamer sends it again on the next connection.
+            self._ensure_connection(upstream)
+        for attempt in list(connection.attempts.values()):  # handling one may cancel others
+            key = upstream.name, attempt.request.viewing
             if self.attempts.get(key) is not attempt:
                 continue
             del self.attempts[key]
-            log.info("connection lost under a tune-in", streamer=upstream.name, cause=line.cause)
-            if line.unsent(attempt.sent):
-                # It never left whole, so nothing ran.
-                self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, EndReason.UNREACHED)
+            log.info("connection lost during a tune-in", streamer=upstream.name, cause=connection.cause)
+            if connection.is_unsent(attempt.sent):
+                # It was not sent in full, so nothing was started.
+                self.host.ended(self.clock(), attempt.request.viewing, attempt.number, EndReason.UNREACHED)
                 continue
-            # It may have run, and may play there to nobody.
-            self._release(upstream, attempt.ask.viewing)
-            self.given_up[key] = self.clock() + self.late
-            self.host.ended(self.clock(), attempt.ask.viewing, attempt.number, EndReason.BROKEN)
-
-    def _gone(self, upstream: Upstream, cause: str) -> None:
-        """A streamer's process is gone, and all that it played with it."""
-        held = self.host.playing_at(upstream.name)
-        if held:
-            log.warning("streamer lost", streamer=upstream.name, viewings=len(held), cause=cause)
-        upstream.ends(cause != "silent")
-        for line in list(upstream.lines):
-            line.close(cause)
-        for viewing, number in held:
+            # The streamer may have started it, and may play it to nobody.
+            self._release(upstream, attempt.request.viewing)
+            self.cancelled[key] = self.clock() + self.late_answer_seconds
+            self.host.ended(self.clock(), attempt.request.viewing, attempt.number, EndReason.BROKEN)
+
+    def _streamer_lost(self, upstream: Upstream, cause: str) -> None:
+        """Handle the loss of a streamer's process, and with it of all viewings that it played."""
+        lost = self.host.playing_at(upstream.name)
+        if lost:
+            log.warning("streamer lost", streamer=upstream.name, viewings=len(lost), cause=cause)
+        upstream.viewings_lost(cause != "silent")
+        for connection in list(upstream.connections):
+            connection.close(cause)
+        for viewing, number in lost:
             self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
-    def tend(self) -> None:
-        """Once in a short while: are the streamers that play for us still there?"""
+    def maintain(self) -> None:
+        """Close surplus connections, test the streamers that play viewings, and drop what has expired.
+
+        To be called several times a second.
+        """
         now = self.clock()
-        held = Counter(
-            life.streamer for life in self.host.viewings.values() if life.state is ViewingState.PLAYING
+        playing = Counter(
+            viewing.streamer
+            for viewing in self.host.viewings.values()
+            if viewing.state is ViewingState.PLAYING
         )
-        tuned = {name for name, _ in self.attempts}
+        with_attempts = {name for name, _ in self.attempts}
         for upstream in list(self.upstreams.values()):
-            upstream.evict(now, self.room(), self.idle)
-            if upstream.owes(now) and not upstream.gone:
-                self._need(upstream)
-            if held[upstream.name]:
-                self._test_upstream(upstream, now)
+            upstream.close_surplus(now, self.has_room(), self.idle_limit)
+            if upstream.has_pending(now) and not upstream.delisted:
+                self._ensure_connection(upstream)
+            if playing[upstream.name]:
+                self._check_liveness(upstream, now)
                 continue
-            # A tune-in may still wait for its connection, on no line yet: were its streamer forgotten,
-            # the time-out could not call it off, and its viewer would never be answered.
-            if upstream.gone and upstream.name not in tuned and not upstream.connecting:
-                for line in list(upstream.lines):
-                    line.close()
+            # A tune-in may still wait for a connection. If its streamer were removed, the time-out could not
+            # call it off, and its viewer would never be answered.
+            if upstream.delisted and upstream.name not in with_attempts and not upstream.connecting:
+                for connection in list(upstream.connections):
+                    connection.close()
                 del self.upstreams[upstream.name]
             upstream.liveness.on_data(now)
-            upstream.told_silent = False
-        self.given_up = {key: until for key, until in self.given_up.items() if until > now}
-        self.released = {key: end for key, end in self.released.items() if end[1] > now}
-        for ref in [ref for ref, (_, at) in self.probes.items() if now - at > 0.5]:
-            streamer, at = self.probes.pop(ref)
-            self.host.probed(now, streamer, EndReason.TIMED_OUT, now - at, None)
-
-    def _test_upstream(self, upstream: Upstream, now: float) -> None:
-        if not upstream.lines and upstream.gone:
-            # Gone from the list and its connections broken: whoever listens there next is another.
-            self._gone(upstream, "gone")
-        elif not upstream.lines:
-            self._need(upstream)
+            upstream.reported_silent = False
+        self.cancelled = {key: until for key, until in self.cancelled.items() if until > now}
+        self.early_releases = {key: end for key, end in self.early_releases.items() if end[1] > now}
+        expired = [ref for ref, (_, sent_at) in self.probes.items() if now - sent_at > PROBE_TIMEOUT_SECONDS]
+        for ref in expired:
+            streamer, sent_at = self.probes.pop(ref)
+            self.host.probed(now, streamer, EndReason.TIMED_OUT, now - sent_at, None)
+
+    def _check_liveness(self, upstream: Upstream, now: float) -> None:
+        if not upstream.connections and upstream.delisted:
+            # Not in the list and not connected: whoever listens there next is another streamer.
+            self._streamer_lost(upstream, "gone")
+        elif not upstream.connections:
+            self._ensure_connection(upstream)
         elif upstream.liveness.is_test_due(now):
-            self._say(upstream, messages.hb(self._test()))
-        word = upstream.liveness.check(now)
-        if word is Liveness.LOST:
-            held = self.host.playing_at(upstream.name)
-            self._gone(upstream, "silent")
-            # If it lives after all, only cut off from here, it is to let go of what nobody here knows.
-            for viewing, _ in held:
+            self._deliver(upstream, messages.encode_heartbeat(self._next_heartbeat_id()))
+        status = upstream.liveness.check(now)
+        if status is Liveness.LOST:
+            lost = self.host.playing_at(upstream.name)
+            self._streamer_lost(upstream, "silent")
+            # If it lives and is only cut off from here, it must stop the viewings that this process dropped.
+            for viewing, _ in lost:
                 self._release(upstream, viewing)
             upstream.liveness.on_data(now)
-        elif word is Liveness.SILENT and not upstream.told_silent:
-            upstream.told_silent = True
+        elif status is Liveness.SILENT and not upstream.reported_silent:
+            upstream.reported_silent = True
             self.host.share_told(now, upstream.name, 0.0)
 
-    # What streamers say.
+    # Messages of streamers.
 
-    def _heard(self, line: Line, data: bytes) -> None:
-        upstream = line.upstream
+    def _on_line(self, connection: StreamerConnection, line: bytes) -> None:
+        upstream = connection.upstream
         try:
-            m = messages.read(data)
+            message = messages.parse_message(line)
             now = self.clock()
-            line.spoke, line.doubted = now, line.doubted if line.half_closed else None
+            connection.last_received = now
+            connection.suspected_at = connection.suspected_at if connection.half_closed else None
             upstream.liveness.on_data(now)
-            upstream.told_silent = False
-            if m.t in ("down", "ack"):
-                upstream.unheard.pop(m.ref, None)
-            match m.t:
+            upstream.reported_silent = False
+            if message.t in ("down", "ack"):
+                upstream.unacknowledged.pop(message.ref, None)
+            match message.t:
                 case "up":
-                    self._started(upstream, line, m)
+                    self._on_up(upstream, connection, message)
                 case "down":
-                    self._ended(upstream, line, m)
+                    self._on_down(upstream, connection, message)
                 case "tell":
-                    self._note(upstream, m)
+                    self._on_note(upstream, message)
                 case "hb_ok":
-                    if probe := self.probes.pop(m.ref, None):
-                        how = EndReason.PLAYED if m.c else EndReason.FAULTY
-                        self.host.probed(now, probe[0], how, now - probe[1], messages.load(m))
+                    if probe := self.probes.pop(message.ref, None):
+                        streamer, sent_at = probe
+                        how = EndReason.PLAYED if message.c else EndReason.FAULTY
+                        self.host.probed(now, streamer, how, now - sent_at, messages.parse_load(message))
                 case "wait" | "ack":
                     pass
                 case _:
-                    raise Unreadable(f"unknown message {m.t!r:.20}")
-        except (Unreadable, Unfit) as fault:
-            # What follows cannot be told apart from noise any more.
-            log.warning("streamer not understood", streamer=upstream.name, cause=str(fault)[:120])
-            line.close(str(fault))
-
-    def _started(self, upstream: Upstream, line: Line, m: Message) -> None:
-        key = upstream.name, m.ref
-        if not m.d:
-            raise Unfit("an answer without a description")
-        self.viewers.look(m.ref)  # whoever asked may have gone: that may lie unread
+                    raise MalformedMessageError(f"unknown message type {message.t!r:.20}")
+        except (MalformedMessageError, InvalidFieldError) as error:
+            # The rest of the input cannot be trusted any more.
+            log.warning("invalid message of a streamer", streamer=upstream.name, cause=str(error)[:120])
+            connection.close(str(error))
+
+    def _on_up(self, upstream: Upstream, connection: StreamerConnection, message: Message) -> None:
+        key = upstream.name, message.ref
+        if not message.d:
+            raise InvalidFieldError("an answer without a session description")
+        self.viewers.read_available(message.ref)  # the viewer may have gone: that may be unread
         attempt = self.attempts.get(key)
-        if attempt is not None and attempt.line is line:
-            load = messages.load(m)
-            del self.attempts[key], line.attempts[m.ref]
-            self.viewers.answered(m.ref, m.d)
-            if not self.host.started(self.clock(), m.ref, attempt.number, upstream.name, load):
-                log.info("late answer", streamer=upstream.name, viewing=m.ref)
-        elif self.given_up.pop(key, None):
+        if attempt is not None and attempt.connection is connection:
+            load = messages.parse_load(message)
+            del self.attempts[key], connection.attempts[message.ref]
+            self.viewers.set_reply(message.ref, message.d)
+            if not self.host.started(self.clock(), message.ref, attempt.number, upstream.name, load):
+                log.info("late answer", streamer=upstream.name, viewing=message.ref)
+        elif self.cancelled.pop(key, None):
             # It plays there to nobody.
-            self._release(upstream, m.ref, line)
+            self._release(upstream, message.ref, connection)
 
-    def _ended(self, upstream: Upstream, line: Line, m: Message) -> None:
-        key = upstream.name, m.ref
-        load = messages.load(m)
+    def _on_down(self, upstream: Upstream, connection: StreamerConnection, message: Message) -> None:
+        key = upstream.name, message.ref
+        load = messages.parse_load(message)
         if (attempt := self.attempts.get(key)) is not None:
-            if attempt.line is line:
-                del self.attempts[key], line.attempts[m.ref]
-                how = messages.BEFORE.get(m.c, EndReason.BROKEN)
-                self.host.ended(self.clock(), m.ref, attempt.number, how, load)
+            if attempt.connection is connection:
+                del self.attempts[key], connection.attempts[message.ref]
+                how = messages.END_REASONS_BEFORE_ANSWER.get(message.c, EndReason.BROKEN)
+                self.host.ended(self.clock(), message.ref, attempt.number, how, load)
             return
-        life, how = self.host.viewings.get(m.ref), messages.AFTER.get(m.c, EndReason.BROKEN)
-        if life is None or life.streamer != upstream.name:
-            if key not in self.given_up:
-                self.released[key] = how, self.clock() + messages.OWED
-        elif life.state is ViewingState.PLAYING:
-            self.host.ended(self.clock(), m.ref, life.number, how, load)
-            line.send(messages.ack(m.ref))
-        elif life.state is ViewingState.CLOSING:
-            self.host.torn_down(self.clock(), m.ref, life.number)
-
-    def _note(self, upstream: Upstream, m: Message) -> None:
-        name, value = messages.note(m)
+        viewing = self.host.viewings.get(message.ref)
+        how = messages.END_REASONS_AFTER_ANSWER.get(message.c, EndReason.BROKEN)
+        if viewing is None or viewing.streamer != upstream.name:
+            if key not in self.cancelled:
+                self.early_releases[key] = how, self.clock() + messages.RELEASE_RETENTION_SECONDS
+        elif viewing.state is ViewingState.PLAYING:
+            self.host.ended(self.clock(), message.ref, viewing.number, how, load)
+            connection.send(messages.encode_ack(message.ref))
+        elif viewing.state is ViewingState.CLOSING:
+            self.host.torn_down(self.clock(), message.ref, viewing.number)
+
+    def _on_note(self, upstream: Upstream, message: Message) -> None:
+        name, value = messages.parse_note(message)
         now = self.clock()
         if name == "served":
             self.host.share_told(now, upstream.name, value)
         elif name == "at_rung":
-            self.host.rung_told(now, m.ref, int(value))
+            self.host.rung_told(now, message.ref, int(value))
         else:
-            self.host.load_told(now, upstream.name, name == "rack_use", m.ref, value)
+            self.host.load_told(now, upstream.name, name == "rack_use", message.ref, value)
--- a/herongap/node/upstream.py
+++ b/herongap/node/upstream.py
@@ -1,4 +1,4 @@
-"""One streamer as its sockets show it: its connections, the set-ups on them, what it is still to be told."""
+"""One streamer as its sockets show it: connections, the set-ups on them, and undelivered messages."""
 
 from collections.abc import Callable
 from errno import EMFILE, ENFILE, ENOBUFS, ENOMEM
@@ -8,16 +8,17 @@
 
 from herongap.host.liveness import StreamerLiveness
 from herongap.interface import EndReason, LoadReport, ViewingRequest
-from herongap.limiter import SHUT, evictions
+from herongap.limiter import REDIAL_DELAY_SECONDS, connections_to_close
 from herongap.node.connection import Connection
 
 Address = tuple[str, int]
-OURS = {EMFILE, ENFILE, ENOBUFS, ENOMEM}  # what keeps a connection from coming up here, not at its streamer
+# Errors that keep this process from opening a connection, whatever the state of the streamer.
+LOCAL_SHORTAGE_ERRORS = {EMFILE, ENFILE, ENOBUFS, ENOMEM}
 
 
 def dial(address: Address, time_out: float) -> socket.socket:
-    """A connection that has come up within `time_out` seconds; raises OSError."""
-    # Not `create_connection`, which has a thread look every address up, numbers too.
+    """Open a connection within `time_out` seconds; raises OSError."""
+    # Not `create_connection`, which resolves every address in a thread, numeric ones too.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.settimeout(time_out)
@@ -29,122 +30,153 @@
     return sock
 
 
-def unreached(fault: OSError) -> tuple[EndReason, LoadReport | None]:
-    """How a tune-in ends whose connection did not come up: of our own shortage its streamer knows nothing."""
-    return (EndReason.FULL, LoadReport()) if fault.errno in OURS else (EndReason.UNREACHED, None)
+def dial_failure(error: OSError) -> tuple[EndReason, LoadReport | None]:
+    """Return how a tune-in ends whose connection could not be opened.
+
+    A shortage of this process says nothing about the streamer.
+    """
+    if error.errno in LOCAL_SHORTAGE_ERRORS:
+        return EndReason.FULL, LoadReport()
+    return EndReason.UNREACHED, None
 
 
 class Attempt:
-    """A tune-in that is out: on its line, as the message `sent`, or waiting for one."""
+    """A pending tune-in: sent on its connection as the message `sent`, or waiting for a connection."""
 
-    __slots__ = ("ask", "number", "rung", "until", "line", "sent")
+    __slots__ = ("request", "number", "rung", "deadline", "connection", "sent")
 
-    def __init__(self, ask: ViewingRequest, number: int, rung: int, until: float):
-        self.ask, self.number, self.rung, self.until, self.line = ask, number, rung, until, None
+    def __init__(self, request: ViewingRequest, number: int, rung: int, deadline: float):
+        self.request, self.number, self.rung = request, number, rung
+        self.deadline, self.connection = deadline, None
         self.sent = b""
 
 
-class Line(Connection):
-    """A connection to a streamer, with the set-ups that it carries.
+class StreamerConnection(Connection):
+    """A connection to a streamer, with the set-ups in flight on it.
 
-    `doubted` is since when it may be dead, as a set-up on it had no answer; None once it has spoken again.
+    `suspected_at` is since when it may be dead, as a set-up on it got no answer; None once the streamer has
+    sent something on it again.
     """
 
-    def __init__(self, sock, upstream: "Upstream", heard: Callable, lost: Callable, now: float):
-        self.upstream, self.attempts, self.spoke, self.doubted = upstream, {}, now, None
-        super().__init__(sock, upstream.name, heard, lost)
+    def __init__(self, sock, upstream: "Upstream", on_line: Callable, on_closed: Callable, now: float):
+        self.upstream, self.attempts, self.last_received, self.suspected_at = upstream, {}, now, None
+        super().__init__(sock, upstream.name, on_line, on_closed)
 
 
 class Upstream:
-    """One streamer as its sockets show it."""
+    """One streamer, its connections and its undelivered messages."""
 
     def __init__(self, name: str, address: Address, liveness: StreamerLiveness):
         self.name, self.address, self.liveness = name, address, liveness
-        self.lines: set[Line] = set()
-        # For the next that opens: a message, until when, and the viewing that it releases, or "". Of those
-        # that went out, by what they release: on which connection, unless it was answered.
-        self.owed: list[tuple[bytes, float, str]] = []
-        self.unheard: dict[str, tuple[Line, bytes, float]] = {}
-        self.connecting, self.settled = 0, Event()  # set whenever one of those that come up did, or did not
-        self.told_silent = self.gone = False
-        # Whether its last connection was reset, as those of a dying process are; until when it is not dialled
-        # for what it is owed.
-        self.reset, self.shut = False, 0.0
-
-    def settle(self, seconds: float) -> None:
-        """Wait until one of those that are coming up did, or did not, for so long at most."""
-        self.settled.clear()
-        self.settled.wait(max(0.0, seconds))
-
-    def say(self, line: Line | None, message: bytes, until: float, release: str = "") -> None:
-        """Tell on `line`, or else on the next that opens until `until`. What releases the viewing `release`
-        is told again where its connection breaks before its streamer has answered it.
+        self.connections: set[StreamerConnection] = set()
+        # For the next connection that opens: a message, its expiry, and the viewing that it releases, or "".
+        self.pending: list[tuple[bytes, float, str]] = []
+        # Releases that were sent and not answered, by viewing, with their connection and expiry.
+        self.unacknowledged: dict[str, tuple[StreamerConnection, bytes, float]] = {}
+        self.connecting, self.dial_finished = 0, Event()  # the event is set whenever a dial succeeds or fails
+        self.reported_silent = self.delisted = False
+        # Whether the last connection was reset, as those of a dying process are.
+        self.last_was_reset = False
+        # Until when the streamer is not dialled for pending messages.
+        self.redial_at = 0.0
+
+    def wait_for_dial(self, seconds: float) -> None:
+        """Wait until a dial that is under way succeeds or fails, for at most so many seconds."""
+        self.dial_finished.clear()
+        self.dial_finished.wait(max(0.0, seconds))
+
+    def deliver(
+        self, connection: StreamerConnection | None, message: bytes, expires_at: float, release: str = ""
+    ) -> None:
+        """Send a message on `connection`, or else on the next one that opens before `expires_at`.
+
+        A message that releases the viewing `release` is sent again if its connection breaks before the
+        streamer has answered.
         """
-        if line is None or not line.send(message):
-            self.owed.append((message, until, release))
+        if connection is None or not connection.send(message):
+            self.pending.append((message, expires_at, release))
         elif release:
-            self.unheard[release] = line, message, until
-
-    def pay(self, line: Line, now: float) -> None:
-        """Tell on a connection that has just come up what is owed."""
-        if self.owes(now):
-            owed, self.owed = self.owed, []
-            for entry in owed:
-                self.say(line, *entry)
-
-    def owes(self, now: float) -> bool:
-        """Whether something is still worth telling."""
-        self.owed = [entry for entry in self.owed if entry[1] > now]
-        self.unheard = {ref: entry for ref, entry in self.unheard.items() if entry[-1] > now}
-        return bool(self.owed)
-
-    def unsettled(self, now: float) -> bool:
-        """Whether something is still to be told, or has not left whole."""
-        return not self.gone and (self.owes(now) or any(line.behind for line in self.lines))
-
-    def lost(self, line: Line) -> None:
-        """A connection has ended: what it may have taken along is owed again."""
-        self.lines.discard(line)
-        self.reset = line.broken and bool(line.cause)
-        for ref, (at, message, until) in list(self.unheard.items()):
-            if at is line and (line.broken or line.unsent(message)):
-                del self.unheard[ref]
-                self.owed.append((message, until, ref))
-
-    def ends(self, gone: bool) -> None:
-        """Nothing plays there for us any more: its process is `gone`, with all that it was owed; or it is
-        only silent, and is told again what it has not answered, should it live.
+            self.unacknowledged[release] = connection, message, expires_at
+
+    def deliver_pending(self, connection: StreamerConnection, now: float) -> None:
+        """Send the pending messages on a connection."""
+        if self.has_pending(now):
+            pending, self.pending = self.pending, []
+            for entry in pending:
+                self.deliver(connection, *entry)
+
+    def has_pending(self, now: float) -> bool:
+        """Drop what has expired; whether a message is still pending."""
+        self.pending = [entry for entry in self.pending if entry[1] > now]
+        self.unacknowledged = {
+            viewing: entry for viewing, entry in self.unacknowledged.items() if entry[-1] > now
+        }
+        return bool(self.pending)
+
+    def has_unsent(self, now: float) -> bool:
+        """Whether a message is pending, or has not been written in full."""
+        return not self.delisted and (
+            self.has_pending(now) or any(connection.unsent_bytes for connection in self.connections)
+        )
+
+    def connection_closed(self, connection: StreamerConnection) -> None:
+        """Handle the end of a connection: releases that may have been lost with it become pending again."""
+        self.connections.discard(connection)
+        self.last_was_reset = connection.broken and bool(connection.cause)
+        for viewing, (sent_on, message, expires_at) in list(self.unacknowledged.items()):
+            if sent_on is connection and (connection.broken or connection.is_unsent(message)):
+                del self.unacknowledged[viewing]
+                self.pending.append((message, expires_at, viewing))
+
+    def viewings_lost(self, process_gone: bool) -> None:
+        """Handle the loss of all viewings at the streamer.
+
+        If its process is gone, nothing is left to deliver. If it is only silent, it may live: releases that
+        it has not answered are sent again.
         """
-        if gone:
-            self.owed = []
+        if process_gone:
+            self.pending = []
         else:
-            self.owed += [(message, until, ref) for ref, (_, message, until) in self.unheard.items()]
-        self.unheard = {}
-
-    def refused(self, now: float) -> bool:
-        """It refused a connection; whether its process is gone."""
-        self.shut = now + SHUT
-        return self.liveness.is_gone_after_refusal(self.reset, any(line.stands() for line in self.lines))
-
-    def evict(self, now: float, room: bool, idle: float) -> None:
-        """Let go of connections that are not needed, or may be dead."""
-        for line in evictions(now, self.lines, room, idle):
-            # Not closed at once: a release on its way here would be lost with it, and is never sent again
-            # unless another connection opens.
-            if line.half_closed:
-                line.close("its streamer does not let go")
+            self.pending += [
+                (message, expires_at, viewing)
+                for viewing, (_, message, expires_at) in self.unacknowledged.items()
+            ]
+        self.unacknowledged = {}
+
+    def connection_refused(self, now: float) -> bool:
+        """Handle a refused connection; whether the streamer's process is gone."""
+        self.redial_at = now + REDIAL_DELAY_SECONDS
+        return self.liveness.is_gone_after_refusal(
+            self.last_was_reset, any(connection.is_open() for connection in self.connections)
+        )
+
+    def close_surplus(self, now: float, room: bool, idle_limit: float) -> None:
+        """Close connections that are not needed or may be dead."""
+        for connection in connections_to_close(now, self.connections, room, idle_limit):
+            # Not closed at once: a release on its way here would be lost, and a streamer sends it again only
+            # when another connection opens.
+            if connection.half_closed:
+                connection.close("the streamer does not close its side")
             else:
-                line.doubted = now
-                line.half_close()
+                connection.suspected_at = now
+                connection.half_close()
+
+    def healthy_connection(
+        self, without_attempts: bool, now: float, idle_limit: float
+    ) -> StreamerConnection | None:
+        """Return the most recently active connection that appears to be open, or None.
 
-    def sound(self, free: bool, now: float, idle: float) -> Line | None:
-        """The connection that spoke last of those that stand as far as can be told: not doubted, with nothing
-        that its streamer has left unread, still for under `idle` seconds; `free` of set-ups where wanted.
+        It is not suspected, has no unsent output and was idle for less than `idle_limit` seconds. With
+        `without_attempts` no set-up is in flight on it.
         """
-        for line in sorted(self.lines, key=lambda line: -line.spoke):
-            busy = line.half_closed or line.behind or (free and line.attempts)
-            if not busy and now - line.spoke < idle and line.doubted is None:
-                if line.stands():
-                    return line
-                line.doubted = now
+        for connection in sorted(self.connections, key=lambda connection: -connection.last_received):
+            busy = (
+                connection.half_closed
+                or connection.unsent_bytes
+                or (without_attempts and connection.attempts)
+            )
+            if not busy and now - connection.last_received < idle_limit and connection.suspected_at is None:
+                if connection.is_open():
+                    return connection
+                connection.suspected_at = now
         return None
--- a/herongap/node/viewers.py
+++ b/herongap/node/viewers.py
@@ -1,4 +1,4 @@
-"""The viewers' side: connections on which set-ups come and answers leave. It carries; it decides nothing."""
+"""Connections of viewers, on which set-ups arrive and answers leave; nothing is decided here."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -7,301 +7,342 @@
 import structlog
 
 from herongap.host import Answer, Host
-from herongap.interface import EndReason
-from herongap.limiter import DOUBT, ConnectionLimiter
+from herongap.interface import EndReason, ViewingRequest
+from herongap.limiter import SUSPECT_TIMEOUT_SECONDS, ConnectionLimiter
 from herongap.node.connection import Connection
 from herongap.platform import messages
-from herongap.platform.launch import Launch
-from herongap.platform.messages import Message, Unfit, Unreadable
+from herongap.platform.config import NodeConfig
+from herongap.platform.messages import InvalidFieldError, MalformedMessageError, Message
 
 log = structlog.get_logger()
 
 
 class Session:
-    """A viewing as its viewer's side has it: its connection, and what it offers until it plays."""
+    """A viewing as its viewer's side sees it: its connection, and the viewer's offer until it plays.
 
-    __slots__ = ("conn", "offer", "reply", "answered", "mine")  # `reply`, once answered: until it has left
+    `reply` is what a streamer answered, and once `answered` the encoded answer until it is written in full.
+    `end_known` says that the viewer ended the viewing, or was told of its end.
+    """
 
-    def __init__(self, conn: Connection, offer: str):
-        # The reply is kept apart: one that the host finds late must not be the offer of the next tune-in.
-        self.conn, self.offer, self.reply, self.answered, self.mine = conn, offer, "", False, False
+    __slots__ = ("connection", "offer", "reply", "answered", "end_known")
+
+    def __init__(self, connection: Connection, offer: str):
+        # The reply has a field of its own: a reply that the host rejects as late must not become the offer of
+        # the next tune-in.
+        self.connection, self.offer, self.reply = connection, offer, ""
+        self.answered, self.end_known = False, False
 
 
 class Viewers:
-    """All connections of viewers. `listener` is accepted from until `stop`."""
+    """All connections of viewers and their sessions; `stop` ends accepting connections from `listener`."""
 
-    def __init__(self, launch: Launch, host: Host, limiter: ConnectionLimiter, clock: Callable[[], float]):
-        self.launch, self.host, self.limiter, self.clock = launch, host, limiter, clock
+    def __init__(
+        self, config: NodeConfig, host: Host, limiter: ConnectionLimiter, clock: Callable[[], float]
+    ):
+        self.config, self.host, self.limiter, self.clock = config, host, limiter, clock
         self.sessions: dict[str, Session] = {}
-        self.owed: dict[str, tuple[bytes, float]] = {}
-        self.ended: dict[str, float] = {}  # releases of what is not held: its set-up with `at` may come later
-        # Connections that are let go, and until when their peers may close them first.
-        self.leaving: dict[Connection, float] = {}
-        # Releases on their way: what a connection took along when it broke is told again on another.
-        self.unheard: dict[str, tuple[Connection, bytes, float]] = {}
+        # Releases that no open connection could carry, with their expiry, by viewing.
+        self.pending_releases: dict[str, tuple[bytes, float]] = {}
+        # Releases of viewings that are not held, by their expiry: the set-up with `at` may come later.
+        self.early_releases: dict[str, float] = {}
+        # Half-closed connections, and until when their peers may close them.
+        self.closing: dict[Connection, float] = {}
+        # Releases that were sent and not acknowledged: those lost with a connection are sent on another.
+        self.unacknowledged: dict[str, tuple[Connection, bytes, float]] = {}
         self.connections: set[Connection] = set()
-        # On which viewings have stood, the newest last; and on which set-ups were answered at all.
-        self.trusted: dict[Connection, None] = {}
-        self.served: dict[Connection, None] = {}
+        # Connections on which viewings were answered as playing, and on which set-ups were answered at all;
+        # the most recent is last.
+        self.with_viewings: dict[Connection, None] = {}
+        self.with_answers: dict[Connection, None] = {}
         self.ready = self.shutting_down = False
         self.listener = None
 
     def accept(self, listener) -> None:
+        """Accept connections until the listener is closed."""
         self.listener = listener
         while True:
             try:
                 sock, peer = listener.accept()
-            except OSError as fault:
+            except OSError as error:
                 if listener.closed:
                     return
-                # Out of descriptors: those that are held go on, and accepting is tried again.
-                log.error("cannot accept connections", cause=str(fault))
+                # Out of descriptors: open connections continue, and accepting is retried.
+                log.error("cannot accept connections", cause=str(error))
                 gevent.sleep(0.1)
                 continue
             try:
-                self._take(sock, peer)
+                self._add_connection(sock, peer)
             except OSError:
-                continue  # reset before it was looked at
+                continue  # reset before it was handled
 
-    def _take(self, sock, peer) -> None:
-        conn = Connection(sock, peer[0], self._heard, self._lost, self._refuse)
-        self.connections.add(conn)
-        if victims := self.limiter.came(self.clock(), conn, Connection.quiet):
+    def _add_connection(self, sock, peer) -> None:
+        connection = Connection(sock, peer[0], self._on_line, self._on_closed, self._stop_reading)
+        self.connections.add(connection)
+        if victims := self.limiter.add(self.clock(), connection, Connection.is_quiet):
             for victim in victims:
                 victim.close("shed")
-            # Their descriptors are free only when they have ended: a crowd at the door must not outrun that.
+            # Their descriptors are free only once they have ended: many new connections must not outrun that.
             gevent.sleep(0)
 
-    def pending(self) -> tuple[int, int, int]:
-        """How many set-ups wait for an answer, connections hold something unread or unsent, viewings play."""
+    def unfinished(self) -> tuple[int, int, int]:
+        """Return the numbers of unanswered set-ups, of connections with unread or unsent data, of playing
+        viewings.
+        """
         waiting = sum(not session.answered for session in self.sessions.values())
-        return waiting, sum(not conn.quiet() for conn in self.connections), len(self.sessions) - waiting
+        busy = sum(not connection.is_quiet() for connection in self.connections)
+        return waiting, busy, len(self.sessions) - waiting
 
     def stop(self) -> None:
-        """Take no more connections than the system has taken for us; set-ups are refused at once from now."""
+        """Accept only the connections that the system has accepted already; refuse set-ups from now on."""
         self.shutting_down = True
         if not self.listener or self.listener.closed:
             return
         self.listener.settimeout(0.0)
         with suppress(OSError):
             while True:
-                self._take(*self.listener.accept())
+                self._add_connection(*self.listener.accept())
         with suppress(OSError):
             self.listener.close()
 
-    def leave(self) -> None:
-        """Hear what has come to the last moment, and end every connection: nothing is owed on any by now."""
-        for conn in list(self.connections):
-            conn.look()
-            conn.close("stopped")
+    def close_all(self) -> None:
+        """Handle the input that has arrived, and close every connection; no output is pending by now."""
+        for connection in list(self.connections):
+            connection.read_available()
+            connection.close("stopped")
+
+    def maintain(self) -> None:
+        """Close connections that send nothing, and drop what has expired.
 
-    def tend(self) -> None:
-        """Once in a short while: close what says nothing, drop what can no longer be told."""
+        To be called several times a second.
+        """
         now = self.clock()
-        for conn in self.limiter.overdue(now, Connection.quiet, Connection.half_line):
-            if conn.behind:
-                conn.deaf, conn.cause = True, "silent"
-                self._let_go(conn)
+        overdue = self.limiter.pop_overdue(now, Connection.is_quiet, Connection.has_partial_line)
+        for connection in overdue:
+            if connection.unsent_bytes:
+                connection.discarding, connection.cause = True, "silent"
+                self._close_gracefully(connection)
             else:
-                conn.close("silent")
-        for conn, until in list(self.leaving.items()):
-            # With all that was owed sent, its peer has a moment to close first, and read what is on its way.
-            self.leaving[conn] = until = until if conn.behind else min(until, now + DOUBT)
+                connection.close("silent")
+        for connection, until in list(self.closing.items()):
+            # Once all output is written, the peer has a moment to close first and to read what is on its way.
+            if not connection.unsent_bytes:
+                until = min(until, now + SUSPECT_TIMEOUT_SECONDS)
+            self.closing[connection] = until
             if until <= now:
-                conn.close("not understood")
-        for told in (self.owed, self.unheard):
-            for ref in [ref for ref, entry in told.items() if entry[-1] <= now]:
-                del told[ref]
-        self.ended = {ref: until for ref, until in self.ended.items() if until > now}
-
-    def look(self, ref: str) -> bool:
-        """Hear what lies unread of whoever asked for a viewing that is set up; whether that was all of it."""
+                connection.close("invalid message")
+        for releases in (self.pending_releases, self.unacknowledged):
+            for ref in [ref for ref, entry in releases.items() if entry[-1] <= now]:
+                del releases[ref]
+        self.early_releases = {ref: until for ref, until in self.early_releases.items() if until > now}
+
+    def read_available(self, ref: str) -> bool:
+        """Handle what has arrived from the viewer of a viewing that is set up; whether that was all of it."""
         session = self.sessions.get(ref)
-        return session is None or session.conn is None or session.conn.look()
+        return session is None or session.connection is None or session.connection.read_available()
 
-    # What viewers say.
+    # Messages of viewers.
 
-    def _heard(self, conn: Connection, line: bytes) -> None:
+    def _on_line(self, connection: Connection, line: bytes) -> None:
         try:
-            m = messages.read(line)
-            if m.t == "new":
-                self._new(conn, m)
-            elif m.t == "down":
-                self._down(conn, m)
-            elif m.t == "hb":
-                self._sound(conn)
-                conn.send(messages.hb_ok(m.ref[:64], self.ready))
-            elif m.t == "ack":
-                self.unheard.pop(m.ref, None)
-            elif m.t not in ("wait", "tell"):
-                raise Unreadable(f"unknown message {m.t!r:.20}")
-        except Unreadable as fault:
-            self._refuse(conn, fault)
-
-    def _refuse(self, conn: Connection, fault: Exception) -> None:
-        """Nothing that follows there can be made out. What was taken on it has its answer first."""
-        log.info("viewer not understood", peer=conn.peer, cause=str(fault)[:120])
-        conn.deaf, conn.cause = True, str(fault)
-        if self.limiter.of_use(conn):
-            self._let_go(conn)
+            message = messages.parse_message(line)
+            if message.t == "new":
+                self._on_new(connection, message)
+            elif message.t == "down":
+                self._on_down(connection, message)
+            elif message.t == "hb":
+                self._record_message(connection)
+                connection.send(messages.encode_heartbeat_reply(message.ref[:64], self.ready))
+            elif message.t == "ack":
+                self.unacknowledged.pop(message.ref, None)
+            elif message.t not in ("wait", "tell"):
+                raise MalformedMessageError(f"unknown message type {message.t!r:.20}")
+        except MalformedMessageError as error:
+            self._stop_reading(connection, error)
+
+    def _stop_reading(self, connection: Connection, error: Exception) -> None:
+        """Discard the rest of the input, which cannot be parsed, and close the connection.
+
+        Set-ups that were accepted on it are answered first.
+        """
+        log.info("invalid message of a viewer", peer=connection.peer, cause=str(error)[:120])
+        connection.discarding, connection.cause = True, str(error)
+        if self.limiter.has_sent_message(connection):
+            self._close_gracefully(connection)
         else:
-            conn.close(str(fault))  # nothing but noise, perhaps by the hundreds: free at once
-
-    def _let_go(self, conn: Connection) -> None:
-        open_here = (one for one in self.sessions.values() if one.conn is conn and not one.answered)
-        if conn.half_closed or any(open_here):
+            connection.close(str(error))  # never sent anything valid, perhaps one of hundreds: freed at once
+
+    def _close_gracefully(self, connection: Connection) -> None:
+        unanswered = (
+            session
+            for session in self.sessions.values()
+            if session.connection is connection and not session.answered
+        )
+        if connection.half_closed or any(unanswered):
             return
-        conn.half_close()
-        self.leaving[conn] = self.clock() + messages.OWED
+        connection.half_close()
+        self.closing[connection] = self.clock() + messages.RELEASE_RETENTION_SECONDS
 
-    def _sound(self, conn: Connection) -> None:
-        self.limiter.spoke(self.clock(), conn)
+    def _record_message(self, connection: Connection) -> None:
+        self.limiter.message_received(self.clock(), connection)
 
-    def _new(self, conn: Connection, m: Message) -> None:
-        if not messages.NAMES.fullmatch(m.ref):
-            raise Unreadable("a set-up without an id")
-        session = self.sessions.get(m.ref)
+    def _on_new(self, connection: Connection, message: Message) -> None:
+        if not messages.ID_PATTERN.fullmatch(message.ref):
+            raise MalformedMessageError("a set-up without an id")
+        session = self.sessions.get(message.ref)
         try:
-            ask, at = messages.asked(m, self.launch.terms)
-            if at is not None:
-                self._handed(conn, m, ask, at)
+            request, streamer = messages.parse_request(message, self.config.message_context)
+            if streamer is not None:
+                self._on_handover(connection, message, request, streamer)
                 return
-            if session is not None and not session.answered and session.conn is not conn:
-                # The same again after its connection has gone, which may lie unread.
-                session.conn.look()
-                session = self.sessions.get(m.ref)
+            if session is not None and not session.answered and session.connection is not connection:
+                # Repeated after the end of its first connection, which may still be unread.
+                session.connection.read_available()
+                session = self.sessions.get(message.ref)
             if session is not None:
-                if session.conn is conn:
-                    raise Unreadable("an id that is open already")
-                raise Unfit("an id that is open elsewhere")
-            if not m.d:
-                raise Unfit("no description")
-        except Unfit as fault:
-            log.info("set-up refused", peer=conn.peer, cause=str(fault)[:120])
-            conn.send(messages.down(m.ref, messages.FAILED))
+                if session.connection is connection:
+                    raise MalformedMessageError("this id is in use on this connection already")
+                raise InvalidFieldError("this id is in use on another connection")
+            if not message.d:
+                raise InvalidFieldError("a set-up without a session description")
+        except InvalidFieldError as error:
+            log.info("invalid set-up", peer=connection.peer, cause=str(error)[:120])
+            connection.send(messages.encode_down(message.ref, messages.CAUSE_FAILED))
             return
-        self._sound(conn)
+        self._record_message(connection)
         if self.shutting_down or self.limiter.is_overloaded():
-            conn.send(messages.down(m.ref, messages.BUSY, self.launch.charter.come_back))
+            come_back = self.config.deployment.come_back
+            connection.send(messages.encode_down(message.ref, messages.CAUSE_BUSY, come_back))
             return
         now = self.clock()
-        self.limiter.took(conn)
-        self.sessions[m.ref] = Session(conn, m.d)
-        self.host.asked(now, ask._replace(time_left=max(0.0, ask.time_left - messages.AHEAD)))
-
-    def _handed(self, conn: Connection, m: Message, ask, at: str) -> None:
-        if m.ref in self.sessions or m.ref in self.host.viewings:
+        self.limiter.set_up_accepted(connection)
+        self.sessions[message.ref] = Session(connection, message.d)
+        time_left = max(0.0, request.time_left - messages.ANSWER_MARGIN_SECONDS)
+        self.host.asked(now, request._replace(time_left=time_left))
+
+    def _on_handover(
+        self, connection: Connection, message: Message, request: ViewingRequest, streamer: str
+    ) -> None:
+        """Adopt a viewing that plays at `streamer` already."""
+        if message.ref in self.sessions or message.ref in self.host.viewings:
             return
-        self._sound(conn)
-        session = self.sessions[m.ref] = Session(conn, "")
+        self._record_message(connection)
+        session = self.sessions[message.ref] = Session(connection, "")
         session.answered = True
-        self.trusted[conn] = None
-        self._pay(conn)
-        floor = next(p.floor for p in self.launch.charter.packages if p.name == ask.package)
-        # One that has left is known to the module for a while yet, and nobody would hear of its end.
-        if at not in self.host.port.upstreams or not self.host.adopted(self.clock(), ask, 0, at, floor):
-            self.over(m.ref, EndReason.BROKEN)
-        elif self.ended.pop(m.ref, None):
-            # Its viewer has ended it, on another connection: that came first.
-            session.mine = True
-            self.host.left(self.clock(), m.ref)
-        elif how := self.host.port.ended(m.ref, at):
-            self.host.ended(self.clock(), m.ref, 0, how)
-
-    def _down(self, conn: Connection, m: Message) -> None:
-        self._sound(conn)
-        if (session := self.sessions.get(m.ref)) is None:
-            self.ended[m.ref[:64]] = self.clock() + messages.OWED
+        self.with_viewings[connection] = None
+        self._send_pending_releases(connection)
+        floor = next(p.floor for p in self.config.deployment.packages if p.name == request.package)
+        # The deciding module remembers a streamer that has left for a while, but no end of a viewing there
+        # would be reported.
+        if streamer not in self.host.port.upstreams or not self.host.adopted(
+            self.clock(), request, 0, streamer, floor
+        ):
+            self.viewing_ended(message.ref, EndReason.BROKEN)
+        elif self.early_releases.pop(message.ref, None):
+            # Its viewer ended it, on another connection, before this set-up arrived.
+            session.end_known = True
+            self.host.left(self.clock(), message.ref)
+        elif how := self.host.port.pop_early_release(message.ref, streamer):
+            self.host.ended(self.clock(), message.ref, 0, how)
+
+    def _on_down(self, connection: Connection, message: Message) -> None:
+        self._record_message(connection)
+        if (session := self.sessions.get(message.ref)) is None:
+            self.early_releases[message.ref[:64]] = self.clock() + messages.RELEASE_RETENTION_SECONDS
             return
-        if not session.answered and session.conn is not conn:
-            return  # only whoever asked may take it back
-        session.mine = True
-        conn.send(messages.ack(m.ref))
-        self.host.left(self.clock(), m.ref)
-
-    def _lost(self, conn: Connection) -> None:
-        self.connections.discard(conn)
-        self.leaving.pop(conn, None)
-        self.trusted.pop(conn, None)
-        self.served.pop(conn, None)
-        self.limiter.went(conn)
+        if not session.answered and session.connection is not connection:
+            return  # only the connection that requested a viewing may cancel it
+        session.end_known = True
+        connection.send(messages.encode_ack(message.ref))
+        self.host.left(self.clock(), message.ref)
+
+    def _on_closed(self, connection: Connection) -> None:
+        self.connections.discard(connection)
+        self.closing.pop(connection, None)
+        self.with_viewings.pop(connection, None)
+        self.with_answers.pop(connection, None)
+        self.limiter.remove(connection)
         for ref, session in list(self.sessions.items()):
-            if session.conn is not conn:
+            if session.connection is not connection:
                 continue
-            if session.answered and not (session.reply and conn.unsent(session.reply)):
-                session.conn = None  # a viewing that stands belongs to no connection
+            if session.answered and not (session.reply and connection.is_unsent(session.reply)):
+                session.connection = None  # a playing viewing does not depend on a connection
             elif ref in self.sessions:
-                # Nobody is left to be answered, or the answer never left whole.
-                session.mine = True
+                # The viewer has gone, or its answer was not sent in full.
+                session.end_known = True
                 self.host.left(self.clock(), ref)
 
-        for ref, (at, message, until) in list(self.unheard.items()):
-            if at is conn:
-                del self.unheard[ref]
-                self._tell(ref, message, None, until)
+        for ref, (sent_on, message, expires_at) in list(self.unacknowledged.items()):
+            if sent_on is connection:
+                del self.unacknowledged[ref]
+                self._deliver_release(ref, message, None, expires_at)
 
-    # What the host has for viewers.
+    # Messages of the host for viewers.
 
-    def description(self, ref: str) -> str:
-        """What the viewer offered; "" once it plays."""
+    def offer(self, ref: str) -> str:
+        """Return the session description that the viewer offered; "" once the viewing plays."""
         return self.sessions[ref].offer
 
-    def answered(self, ref: str, description: str) -> None:
-        """What a streamer answered, to be passed on if the host takes it."""
+    def set_reply(self, ref: str, description: str) -> None:
+        """Keep what a streamer answered, to be sent to the viewer if the host takes the answer."""
         if session := self.sessions.get(ref):
             session.reply = description
 
     def answer(self, ref: str, answer: Answer) -> None:
+        """Send the answer to a set-up."""
         session = self.sessions[ref]
-        conn = session.conn
-        self.limiter.settled(conn)
+        connection = session.connection
+        self.limiter.set_up_answered(connection)
         if answer.verdict == "plays":
-            up = messages.up(ref, session.reply)
+            up = messages.encode_up(ref, session.reply)
             session.offer = session.reply = ""
-            # One that has gone hears nothing: its end, told in a moment, then ends the viewing too.
-            session.answered = conn.send(up)
+            # If the viewer has gone, the end of its connection is reported next and ends the viewing too.
+            session.answered = connection.send(up)
             if session.answered:
-                session.reply = up if conn.unsent(up) else ""
-                self.trusted.pop(conn, None)
-                self.trusted[conn] = None
+                session.reply = up if connection.is_unsent(up) else ""
+                self.with_viewings.pop(connection, None)
+                self.with_viewings[connection] = None
         else:
             del self.sessions[ref]
             if answer.verdict == "blocked":
-                conn.send(messages.down(ref, messages.REFUSED, answer.come_back))
+                connection.send(messages.encode_down(ref, messages.CAUSE_REFUSED, answer.come_back))
             elif answer.verdict == "aborted":
-                conn.send(messages.down(ref, messages.FAILED))
-        if not conn.closed:
-            self.served[conn] = None
-            self._pay(conn)
-        if conn.deaf:
-            self._let_go(conn)
-
-    def moved(self, ref: str) -> None:
-        """The host takes a viewing off its streamer; unless its viewer ended it, that one comes again."""
+                connection.send(messages.encode_down(ref, messages.CAUSE_FAILED))
+        if not connection.closed:
+            self.with_answers[connection] = None
+            self._send_pending_releases(connection)
+        if connection.discarding:
+            self._close_gracefully(connection)
+
+    def viewing_moved(self, ref: str) -> None:
+        """Tell the viewer of a viewing that the host takes off its streamer to request it again."""
         session = self.sessions.get(ref)
-        if session and not session.mine:
-            session.mine = True
-            self._release(ref, session, messages.shift(ref))
+        if session and not session.end_known:
+            session.end_known = True
+            self._release(ref, session, messages.encode_shift(ref))
 
-    def over(self, ref: str, how: EndReason) -> None:
+    def viewing_ended(self, ref: str, how: EndReason) -> None:
+        """Tell the viewer of a viewing that it has ended, unless the viewer knows."""
         session = self.sessions.pop(ref, None)
-        if session and not session.mine and how is not EndReason.CALLED_OFF:
-            cause = messages.ENDED if how is EndReason.PLAYED else messages.CUT
-            self._release(ref, session, messages.down(ref, cause))
+        if session and not session.end_known and how is not EndReason.CALLED_OFF:
+            cause = messages.CAUSE_ENDED if how is EndReason.PLAYED else messages.CAUSE_CUT
+            self._release(ref, session, messages.encode_down(ref, cause))
 
     def _release(self, ref: str, session: Session, message: bytes) -> None:
-        self._tell(ref, message, session.conn, self.clock() + messages.OWED)
-
-    def _tell(self, ref: str, message: bytes, first: Connection | None, until: float) -> None:
-        """A release, on the connection that is best for it, kept until it is acknowledged."""
-        for conn in (first, *reversed(self.trusted), *reversed(self.served)):
-            if conn is not None and conn.send(message):
-                self.unheard[ref] = conn, message, until
+        expires_at = self.clock() + messages.RELEASE_RETENTION_SECONDS
+        self._deliver_release(ref, message, session.connection, expires_at)
+
+    def _deliver_release(
+        self, ref: str, message: bytes, preferred: Connection | None, expires_at: float
+    ) -> None:
+        """Send a release on the best open connection, and keep it until it is acknowledged."""
+        for connection in (preferred, *reversed(self.with_viewings), *reversed(self.with_answers)):
+            if connection is not None and connection.send(message):
+                self.unacknowledged[ref] = connection, message, expires_at
                 return
-        # No way to its viewer's side is open: it goes with the next that opens.
-        self.owed[ref] = message, until
+        # No connection to the viewer's side is open: it is sent on the next one.
+        self.pending_releases[ref] = message, expires_at
 
-    def _pay(self, conn: Connection) -> None:
-        owed, self.owed = self.owed, {}
-        for ref, (message, until) in owed.items():
-            self._tell(ref, message, conn, until)
+    def _send_pending_releases(self, connection: Connection) -> None:
+        pending, self.pending_releases = self.pending_releases, {}
+        for ref, (message, expires_at) in pending.items():
+            self._deliver_release(ref, message, connection, expires_at)
--- a/herongap/overload.py
+++ b/herongap/overload.py
@@ -1,7 +1,7 @@
-"""What a front takes on: connections, set-ups at one time, the pace of one peer. Decides without I/O.
+"""Limits what a front accepts: connections, concurrent set-ups, and each peer's request rate, without I/O.
 
-These limits protect the process, before any viewing exists; what becomes of a viewing is the module's. An
-overloaded front turns new requests away at once and keeps the viewings that it holds.
+These limits protect the process and apply before a viewing exists; the deciding module decides what becomes
+of a viewing. An overloaded front rejects new requests at once and keeps the viewings that it holds.
 """
 
 from collections import Counter, OrderedDict
@@ -27,9 +27,9 @@
 
 
 class OverloadGuard:
-    """The state behind the limits: who is connected, who asked lately, how far behind the process is."""
+    """Counts connections, requests and lag of one process, and decides what it rejects."""
 
-    MAX_TRACKED_PEERS = 10000  # peers whose pace is remembered; the longest idle is forgotten first
+    MAX_TRACKED_PEERS = 10000  # peers whose request rate is limited; the least recently seen is dropped first
 
     def __init__(self, limits: ProcessLimits):
         self.limits = limits
@@ -40,7 +40,7 @@
         self.rejected: Counter[str] = Counter()
 
     def connect(self, peer: str) -> bool:
-        """Whether one more connection of this peer is taken; each that is must be told to `disconnect`."""
+        """Whether one more connection of this peer is accepted; `disconnect` must follow for each that is."""
         if (
             self.open_connections >= self.limits.connections
             or self.connections_by_peer[peer] >= self.limits.connections_a_peer
@@ -52,22 +52,23 @@
         return True
 
     def disconnect(self, peer: str) -> None:
+        """Record the end of an accepted connection."""
         self.open_connections -= 1
         self.connections_by_peer[peer] -= 1
         if not self.connections_by_peer[peer]:
             del self.connections_by_peer[peer]
 
     def record_lag(self, seconds: float) -> None:
-        """How late the process came to a thing it had set a time for, smoothed over some of them.
+        """Record how late the process ran a timer; the values are smoothed.
 
-        A process that is late answers late: viewings taken now would be lost to their patience.
+        A process that runs late answers late: the viewers of set-ups that it accepts now would give up first.
         """
         self.lag += 0.3 * (seconds - self.lag)
 
     def is_overloaded(self) -> bool:
-        """Whether the process is so late that even reading offers would cost those that it has taken.
+        """Whether the process is so late that even reading new offers would harm accepted viewings.
 
-        Asked before anything of a request is looked at: a refusal must cost next to nothing.
+        Checked before anything of a request is read: a rejection must cost next to nothing.
         """
         if self.lag > self.limits.lag:
             self.rejected["overloaded"] += 1
@@ -75,24 +76,24 @@
         return False
 
     def admit(self, now: float, peer: str, setting_up: int, held: int) -> tuple[str, float] | None:
-        """None if a new viewing is taken; else the problem to answer with, and when to come again
-        (seconds).
+        """Return None if a new viewing is accepted; else the problem to answer with, and after how many
+        seconds to retry.
         """
-        verdict = self._admit(now, peer, setting_up, held)
+        verdict = self._check(now, peer, setting_up, held)
         if verdict:
             self.rejected[verdict[0]] += 1
         return verdict
 
-    def _admit(self, now: float, peer: str, setting_up: int, held: int) -> tuple[str, float] | None:
-        b = self.limits
+    def _check(self, now: float, peer: str, setting_up: int, held: int) -> tuple[str, float] | None:
+        limits = self.limits
         if self.stopping:
             return "stopping", 0.0
-        if setting_up >= b.setting_up or held >= b.held or self.lag > b.lag:
+        if setting_up >= limits.setting_up or held >= limits.held or self.lag > limits.lag:
             return "overloaded", 1.0
-        left, at = self.token_buckets.pop(peer, (b.burst, now))
-        left = min(b.burst, left + (now - at) * b.pace)
-        taken = left >= 1
-        self.token_buckets[peer] = left - taken, now
+        tokens, updated_at = self.token_buckets.pop(peer, (limits.burst, now))
+        tokens = min(limits.burst, tokens + (now - updated_at) * limits.pace)
+        admitted = tokens >= 1
+        self.token_buckets[peer] = tokens - admitted, now
         if len(self.token_buckets) > self.MAX_TRACKED_PEERS:
             self.token_buckets.popitem(last=False)
-        return None if taken else ("too-fast", (1 - left) / b.pace)
+        return None if admitted else ("too-fast", (1 - tokens) / limits.pace)
--- a/herongap/platform/__init__.py
+++ b/herongap/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol without I/O: JSON lines, the resolver's answers, a controller's configuration."""
+"""The platform's protocol without I/O: JSON lines, resolver answers, and a controller's configuration."""
--- a/herongap/platform/lines.py
+++ b/herongap/platform/lines.py
@@ -1,39 +1,42 @@
-"""Bytes of a connection, cut into lines, in bounded memory however they arrive."""
+"""Splits the bytes of a connection into lines, in bounded memory however the bytes arrive."""
 
 from collections.abc import Iterator
 
 from herongap.errors import Unusable
 
-MOST = 16384  # bytes of the longest line, its line feed not counted
+MAX_LINE_BYTES = 16384  # without the line feed
 
 
-class TooLong(Unusable):
-    """A line that is longer than any message may be; nothing after it can be made out."""
+class LineTooLongError(Unusable):
+    """A line longer than any message may be; nothing after it on the connection can be parsed."""
 
     advice = "see whose connection it was; it is closed"
 
 
-class Lines:
-    """The reader of one connection. `begun` says that a line has begun and not ended."""
+class LineBuffer:
+    """The received bytes of one connection that do not end a line yet."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
-    def begun(self) -> bool:
-        return bool(self._rest)
+    def has_partial_line(self) -> bool:
+        """Whether a line has begun and not ended."""
+        return bool(self._partial)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The lines that these bytes end, empty ones left out; then raises TooLong where one is, after which
-        it is spent. Lines ended before that one were sent whole, and are owed what any line is.
+        """Yield the non-empty lines that these bytes complete.
+
+        Raises LineTooLongError at a line that is too long, after which the buffer must not be used. The lines
+        completed before that one are yielded first: they arrived whole and are handled like any other.
         """
-        *lines, rest = (self._rest + data).split(b"\n") if b"\n" in data else (self._rest + data,)
-        self._rest = rest
+        *lines, partial = (self._partial + data).split(b"\n") if b"\n" in data else (self._partial + data,)
+        self._partial = partial
         for line in lines:
-            if len(line) > MOST:
-                raise TooLong(f"a line of over {MOST} bytes")
+            if len(line) > MAX_LINE_BYTES:
+                raise LineTooLongError(f"line longer than {MAX_LINE_BYTES} bytes")
             if line:
                 yield line
-        if len(rest) > MOST:
-            self._rest = b""
-            raise TooLong(f"over {MOST} bytes without a line feed")
+        if len(partial) > MAX_LINE_BYTES:
+            self._partial = b""
+            raise LineTooLongError(f"more than {MAX_LINE_BYTES} bytes without a line feed")
--- a/herongap/platform/messages.py
+++ b/herongap/platform/messages.py
@@ -1,7 +1,8 @@
-"""The messages of the platform: read and checked field by field, and written afresh.
+"""Parses, validates and encodes the platform's messages.
 
-Every message is a JSON object of its type `t`, id `ref`, fields `f`, and where it applies its cause `c` and
-its description `d`. Nothing that was read is ever passed on as it came.
+Every message is a JSON object with its type `t`, its id `ref`, its fields `f`, and where they apply a cause
+`c` and a session description `d`. No received message is forwarded as it came: each is parsed, validated and
+encoded again.
 """
 
 import math
@@ -14,32 +15,40 @@
 from herongap.interface import EndReason, LoadReport, ViewingRequest
 
 Number = int | float
-NAMES = re.compile(r"[0-9a-f]{16}")
-# Causes that a controller sends: refused, so that trying again is harmless; failed; ended; cut.
-REFUSED, BUSY, FAILED, ENDED, CUT = 34, 42, 47, 16, 41
-# What a streamer's release means before its answer, and after it; another cause counts as a reset.
-BEFORE = {34: EndReason.FULL, 47: EndReason.FAULTY, 102: EndReason.NOT_SENT}
-AFTER = {16: EndReason.PLAYED, 31: EndReason.CALLED_OFF}
-NOTES = ("served", "at_rung", "link_use", "rack_use")
-AHEAD = 0.06  # seconds by which an answer leaves before its viewer stops waiting
-OWED = 8.0  # seconds for which a release is worth telling
-LONGEST = 3600.0  # seconds of patience or of length beyond which a figure is none
+ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 
+# Causes that a controller sends.
+CAUSE_REFUSED = 34  # nothing was started, so that trying again is harmless
+CAUSE_BUSY = 42
+CAUSE_FAILED = 47
+CAUSE_ENDED = 16
+CAUSE_CUT = 41
 
-class Unreadable(Unusable):
-    """A line that is no message; whoever sent it cannot be understood any further."""
+# What a streamer's release means before it has answered the set-up, and after; any other cause counts as a
+# reset connection.
+END_REASONS_BEFORE_ANSWER = {34: EndReason.FULL, 47: EndReason.FAULTY, 102: EndReason.NOT_SENT}
+END_REASONS_AFTER_ANSWER = {16: EndReason.PLAYED, 31: EndReason.CALLED_OFF}
+
+NOTE_NAMES = ("served", "at_rung", "link_use", "rack_use")
+ANSWER_MARGIN_SECONDS = 0.06  # an answer leaves this long before its viewer stops waiting
+RELEASE_RETENTION_SECONDS = 8.0  # a release that could not be delivered is dropped after this time
+MAX_DURATION_SECONDS = 3600.0  # longer waiting times or lengths are rejected
+
+
+class MalformedMessageError(Unusable):
+    """A line that is not a message; the rest of the connection cannot be parsed either."""
 
     advice = "see whose connection it was; it is closed and nothing else changes"
 
 
-class Unfit(Unusable):
-    """A message that can be read and cannot be used."""
+class InvalidFieldError(Unusable):
+    """A well-formed message with a field that is missing or invalid."""
 
     advice = "see who sent it; it is answered as failed"
 
 
 class Message(msgspec.Struct, frozen=True):
-    """One message as it was read: types are as they should be, values are not yet checked."""
+    """One received message: the types of its fields are checked, their values are not."""
 
     t: str
     ref: str = ""
@@ -48,11 +57,12 @@
     d: str | None = None
 
     def number(self, name: str) -> float | None:
-        """A field that is a number or the text of one; None without it. Raises Unfit."""
+        """Return a field that is a number or the text of one, None if absent; raises InvalidFieldError."""
         value = self.f.get(name)
-        return None if value is None else number(value)
+        return None if value is None else parse_number(value)
 
     def text(self, name: str) -> str | None:
+        """Return a field as text, None if absent."""
         value = self.f.get(name)
         return None if value is None else str(value)
 
@@ -61,148 +71,162 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def read(line: bytes) -> Message:
-    """The message of a line; raises Unreadable."""
+def parse_message(line: bytes) -> Message:
+    """Return the message in a line; raises MalformedMessageError."""
     try:
         return _decode(line)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as fault:
-        raise Unreadable(str(fault)) from fault
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as error:
+        raise MalformedMessageError(str(error)) from error
 
 
-def number(value: str | Number) -> float:
-    """A finite number; raises Unfit."""
+def parse_number(value: str | Number) -> float:
+    """Return a finite number; raises InvalidFieldError."""
     try:
-        found = float(value)
-    except (ValueError, OverflowError) as fault:
-        raise Unfit(f"no number: {value!r:.40}") from fault
-    if not math.isfinite(found):
-        raise Unfit(f"no finite number: {value!r:.40}")
-    return found
+        result = float(value)
+    except (ValueError, OverflowError) as error:
+        raise InvalidFieldError(f"not a number: {value!r:.40}") from error
+    if not math.isfinite(result):
+        raise InvalidFieldError(f"not a finite number: {value!r:.40}")
+    return result
 
 
-def pairs(text: str) -> dict[str, str]:
-    """`a:1;b:2` as a dictionary; raises Unfit."""
-    found = {}
+def parse_pairs(text: str) -> dict[str, str]:
+    """Return `a:1;b:2` as a dictionary; raises InvalidFieldError."""
+    result = {}
     for part in filter(None, text.split(";")):
         name, colon, value = part.partition(":")
         if not colon:
-            raise Unfit(f"no pair: {part!r:.40}")
-        found[name] = value
-    return found
+            raise InvalidFieldError(f"not a NAME:VALUE pair: {part!r:.40}")
+        result[name] = value
+    return result
 
 
-class Terms(NamedTuple):
+class MessageContext(NamedTuple):
     """What a set-up's fields are checked against: names of packages and members, cells, the highest rung."""
 
     packages: frozenset[str]
     members: frozenset[str]
     cells: int
-    top: int
-
-
-def asked(m: Message, terms: Terms) -> tuple[ViewingRequest, str | None]:
-    """The request of a set-up, and the streamer at which it plays already or None; raises Unfit."""
-    package, member, title = m.text("class"), m.text("tenant"), m.text("key")
-    if package not in terms.packages:
-        raise Unfit(f"unknown package {package!r:.40}")
-    if member is not None and member not in terms.members:
-        raise Unfit(f"unknown member {member!r:.40}")
-    if not title or not NAMES.fullmatch(title):
-        raise Unfit(f"no title: {title!r:.40}")
-    left, hint = m.number("left"), m.number("hint")
-    extras = pairs(m.text("extras") or "")
-    # One that plays already waits for nothing, and says so with a figure beyond all others.
-    if left is None or not 0 < left <= (LONGEST * 1000 if "at" not in extras else 1 << 53):
-        raise Unfit(f"no time to wait: {left}")
-    if hint is not None and not 0 <= hint <= LONGEST * 1000:
-        raise Unfit(f"length out of range: {hint}")
-    home = _whole(extras, "home", 0, 1 << 31)
-    copies = _whole(extras, "copies", 1, terms.cells)
-    ask = ViewingRequest(
-        viewing=m.ref,
-        viewer=extras.get("viewer", m.ref),
+    top_rung: int
+
+
+def parse_request(message: Message, context: MessageContext) -> tuple[ViewingRequest, str | None]:
+    """Return a set-up's request, and the streamer that plays the viewing already or None.
+
+    Raises InvalidFieldError.
+    """
+    package, member, title = message.text("class"), message.text("tenant"), message.text("key")
+    if package not in context.packages:
+        raise InvalidFieldError(f"unknown package: {package!r:.40}")
+    if member is not None and member not in context.members:
+        raise InvalidFieldError(f"unknown member: {member!r:.40}")
+    if not title or not ID_PATTERN.fullmatch(title):
+        raise InvalidFieldError(f"invalid title: {title!r:.40}")
+    time_left_ms, length_ms = message.number("left"), message.number("hint")
+    extras = parse_pairs(message.text("extras") or "")
+    # The viewer of a viewing that plays already waits for nothing: its time left exceeds any real one.
+    if time_left_ms is None or not 0 < time_left_ms <= (
+        MAX_DURATION_SECONDS * 1000 if "at" not in extras else 1 << 53
+    ):
+        raise InvalidFieldError(f"time left is missing or out of range: {time_left_ms}")
+    if length_ms is not None and not 0 <= length_ms <= MAX_DURATION_SECONDS * 1000:
+        raise InvalidFieldError(f"length out of range: {length_ms}")
+    home = _parse_integer(extras, "home", 0, 1 << 31)
+    copies = _parse_integer(extras, "copies", 1, context.cells)
+    request = ViewingRequest(
+        viewing=message.ref,
+        viewer=extras.get("viewer", message.ref),
         package=package,
         member=member,
         title=title,
-        holders=frozenset((home + i) % terms.cells for i in range(copies)),
-        top=_whole(extras, "top", 0, terms.top),
-        time_left=left / 1000,
-        length=None if hint is None else hint / 1000,
+        holders=frozenset((home + i) % context.cells for i in range(copies)),
+        top=_parse_integer(extras, "top", 0, context.top_rung),
+        time_left=time_left_ms / 1000,
+        length=None if length_ms is None else length_ms / 1000,
         moved=extras.get("moved") == "1",
         is_retry=extras.get("again") == "1",
     )
-    return ask, extras.get("at")
+    return request, extras.get("at")
 
 
-def _whole(extras: dict[str, str], name: str, least: int, most: int) -> int:
+def _parse_integer(extras: dict[str, str], name: str, minimum: int, maximum: int) -> int:
     text = extras.get(name, "")
-    if not (text.isascii() and text.isdigit() and len(text) < 12 and least <= int(text) <= most):
-        raise Unfit(f"{name} out of range: {text!r:.40}")
+    if not (text.isascii() and text.isdigit() and len(text) < 12 and minimum <= int(text) <= maximum):
+        raise InvalidFieldError(f"{name} out of range: {text!r:.40}")
     return int(text)
 
 
-def load(m: Message) -> LoadReport | None:
-    """A streamer's report of its load, or None; raises Unfit."""
-    text = m.text("load")
+def parse_load(message: Message) -> LoadReport | None:
+    """Return a streamer's report of its load, None if there is none; raises InvalidFieldError."""
+    text = message.text("load")
     if not text:
         return None
-    told = pairs(text)
+    values = parse_pairs(text)
 
     def ratio(name: str) -> float | None:
-        if name not in told:
+        if name not in values:
             return None
-        found = number(told[name])
-        if not 0 <= found < 1000:
-            raise Unfit(f"{name} out of range: {found}")
-        return found
+        value = parse_number(values[name])
+        if not 0 <= value < 1000:
+            raise InvalidFieldError(f"{name} out of range: {value}")
+        return value
 
     return LoadReport(ratio("x0"), ratio("util"), ratio("x1"))
 
 
-def note(m: Message) -> tuple[str, float]:
-    """A note's name, one of NOTES, and its figure; raises Unfit."""
-    name, value = m.text("note"), m.number("value")
-    if name not in NOTES or value is None or not 0 <= value < 1000:
-        raise Unfit(f"no note: {name!r:.40} {value}")
+def parse_note(message: Message) -> tuple[str, float]:
+    """Return a note's name, one of NOTE_NAMES, and its value; raises InvalidFieldError."""
+    name, value = message.text("note"), message.number("value")
+    if name not in NOTE_NAMES or value is None or not 0 <= value < 1000:
+        raise InvalidFieldError(f"unknown note or value out of range: {name!r:.40} {value}")
     return name, value
 
 
-def _line(t: str, ref: str, f: dict[str, str], **more) -> bytes:
+def _encode_line(t: str, ref: str, f: dict[str, str], **more) -> bytes:
     return _encode({"t": t, "ref": ref, "f": f, **more}) + b"\n"
 
 
-def set_up(ask: ViewingRequest, rung: int, left: float, description: str) -> bytes:
-    """A tune-in; `left` is what its streamer may take, in seconds."""
-    f = {"class": ask.package, "key": ask.title, "left": str(max(1, int(left * 1000))), "rung": str(rung)}
-    return _line("new", ask.viewing, f, d=description)
+def encode_set_up(request: ViewingRequest, rung: int, time_left: float, description: str) -> bytes:
+    """Encode a tune-in; `time_left` is how long its streamer may take, in seconds."""
+    f = {
+        "class": request.package,
+        "key": request.title,
+        "left": str(max(1, int(time_left * 1000))),
+        "rung": str(rung),
+    }
+    return _encode_line("new", request.viewing, f, d=description)
 
 
-def up(ref: str, description: str) -> bytes:
-    """The answer to a viewer whose viewing plays, with what its streamer described."""
-    return _line("up", ref, {}, d=description)
+def encode_up(ref: str, description: str) -> bytes:
+    """Encode the answer to a viewer whose viewing plays, with its streamer's session description."""
+    return _encode_line("up", ref, {}, d=description)
 
 
-def down(ref: str, cause: int, wait: float = 0.0) -> bytes:
-    """A refusal, a release or the taking back of a set-up; `wait` in seconds, 0 for no advice."""
-    return _line("down", ref, {"wait": str(round(wait * 1000))} if wait else {}, c=cause)
+def encode_down(ref: str, cause: int, wait: float = 0.0) -> bytes:
+    """Encode a refusal, a release or a cancellation; `wait` is when to retry, in seconds, 0 for no advice."""
+    return _encode_line("down", ref, {"wait": str(round(wait * 1000))} if wait else {}, c=cause)
 
 
-def ack(ref: str) -> bytes:
-    return _line("ack", ref, {})
+def encode_ack(ref: str) -> bytes:
+    """Encode the acknowledgement of a release."""
+    return _encode_line("ack", ref, {})
 
 
-def shift(ref: str) -> bytes:
-    """The viewing ends here and its viewer is to come again."""
-    return _line("shift", ref, {})
+def encode_shift(ref: str) -> bytes:
+    """Encode the notice that a viewing ends here and that its viewer is to request it again."""
+    return _encode_line("shift", ref, {})
 
 
-def step(ref: str, rung: int) -> bytes:
-    return _line("step", ref, {"rung": str(rung)})
+def encode_step(ref: str, rung: int) -> bytes:
+    """Encode the change of a playing viewing to another rung."""
+    return _encode_line("step", ref, {"rung": str(rung)})
 
 
-def hb(ref: str) -> bytes:
-    return _line("hb", ref, {}, c=0)
+def encode_heartbeat(ref: str) -> bytes:
+    """Encode a heartbeat."""
+    return _encode_line("hb", ref, {}, c=0)
 
 
-def hb_ok(ref: str, passed: bool) -> bytes:
-    return _line("hb_ok", ref, {}, c=int(passed))
+def encode_heartbeat_reply(ref: str, ready: bool) -> bytes:
+    """Encode the reply to a heartbeat, which says whether this process is ready."""
+    return _encode_line("hb_ok", ref, {}, c=int(ready))
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -239,9 +239,9 @@
 
 def test_a_failure_inside_the_module_is_reported_on_the_wire():
     out = io.BytesIO()
-    link = BenchAdapter(out)
-    link.hosted["a"] = None
-    link.serve([b'{"Turn":{"Moment":1.0}}', b'{"Ring":{"I":"a","Ctx":"wake"}}', b'{"YourTurn":{}}'])
+    adapter = BenchAdapter(out)
+    adapter.controllers["a"] = None
+    adapter.serve([b'{"Turn":{"Moment":1.0}}', b'{"Ring":{"I":"a","Ctx":"wake"}}', b'{"YourTurn":{}}'])
     assert out.getvalue().startswith(b'{"Panic": {"I": "a"') and out.getvalue().endswith(b'{"Ready":{}}\n')
 
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -14,6 +14,7 @@
 import gevent
 import pytest
 from helpers import closing
+from herongap.platform.lines import MAX_LINE_BYTES
 from node_world import SETTINGS, World
 from plain_peers import (
     LONG_DEADLINES,
@@ -29,9 +30,12 @@
 import herongap.limiter
 from herongap.interface import StreamerStatus
 from herongap.node.connection import Connection
-from herongap.platform.lines import MOST
 
-NOISE = {"no message": b"\x00\xff noise\n", "no type": b'{"t":"bogus"}\n', "never ends": b"x" * (MOST + 1)}
+NOISE = {
+    "no message": b"\x00\xff noise\n",
+    "no type": b'{"t":"bogus"}\n',
+    "never ends": b"x" * (MAX_LINE_BYTES + 1),
+}
 
 
 @pytest.fixture
@@ -49,7 +53,7 @@
     for conn in w.node.viewers.connections:  # its machine holds next to nothing for it
         conn.sock._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     ref = w.request_viewing(client)
-    w.until(lambda: any(conn.behind for conn in w.node.viewers.connections))
+    w.until(lambda: any(conn.unsent_bytes for conn in w.node.viewers.connections))
     return w, streamer, client, ref
 
 
@@ -98,7 +102,7 @@
     heard(w, client)
     client.send_raw(b"noise\n")
     w.until(client.is_closed, 0.5)
-    w.until(lambda: not w.node.viewers.connections and not w.node.viewers.leaving, 2.0)
+    w.until(lambda: not w.node.viewers.connections and not w.node.viewers.closing, 2.0)
 
 
 def test_noise_by_the_hundreds_keeps_no_descriptors(world):
@@ -127,7 +131,7 @@
 
 
 def test_half_a_line_does_not_cost_what_was_taken_before_it(world, monkeypatch):
-    monkeypatch.setattr(herongap.limiter, "MUTE", 0.2)
+    monkeypatch.setattr(herongap.limiter, "MESSAGE_TIMEOUT_SECONDS", 0.2)
     w = world(**LONG_DEADLINES)
     held = hold_all_set_ups(w)
     client = PlainPeer(w.address)
@@ -142,16 +146,16 @@
 
 
 def test_a_line_whose_end_lies_unread_when_its_time_is_over_is_heard(world, monkeypatch):
-    monkeypatch.setattr(herongap.limiter, "MUTE", 0.2)
+    monkeypatch.setattr(herongap.limiter, "MESSAGE_TIMEOUT_SECONDS", 0.2)
     w = world()
     client = PlainPeer(w.address)
     heard(w, client)
     half = set_up("00000000000000aa")
     client.send_raw(half[:100])
-    w.until(lambda: w.node.viewers.limiter.half)
+    w.until(lambda: w.node.viewers.limiter.partial_since)
     client.send_raw(half[100:])
     time.sleep(0.3)  # the process is late, and its look comes first
-    w.node.viewers.tend()
+    w.node.viewers.maintain()
     # Late as it was it may refuse, but the set-up has its answer.
     w.until(lambda: client.received("up", "00000000000000aa") or client.received("down", "00000000000000aa"))
 
@@ -191,7 +195,7 @@
     heard(w, client)
     w.node.viewers.stop()
     ref = w.request_viewing(client)  # unread
-    w.node.viewers.leave()
+    w.node.viewers.close_all()
     w.until(client.is_closed)
     assert [m["c"] for m in client.received("down", ref)] == [42]
 
@@ -279,7 +283,7 @@
     w.until(lambda: peer.received("new", ref))
     listener.fill_backlog()
     peer.reset()
-    w.until(lambda: any(upstream.owed for upstream in w.node.port.upstreams.values()))
+    w.until(lambda: any(upstream.pending for upstream in w.node.port.upstreams.values()))
     w.until(
         lambda: client.received("down", ref)
     )  # the other cannot be reached either: 250 ms, as the settings say
@@ -295,7 +299,7 @@
     w = world(streamers=1)
     (streamer,) = w.streamers.values()
     good = b'{"t":"up","ref":"0000000000000001","f":{},"d":"d"}\n'
-    streamer.on_set_up = lambda peer, m: peer.send_raw(good + more + b"x" * (MOST + 1))
+    streamer.on_set_up = lambda peer, m: peer.send_raw(good + more + b"x" * (MAX_LINE_BYTES + 1))
     client = PlainPeer(w.address)
     ref = w.request_viewing(client)
     w.until(lambda: client.received("up", ref))
@@ -311,9 +315,9 @@
     streamer.listener.close()
     streamer._greenlet.kill()
     (upstream,) = w.node.port.upstreams.values()
-    (line,) = upstream.lines
-    line.doubted = w.node.clock() + 60.0  # as after a set-up on it that was taken back
-    w.node.port._need(upstream)  # something is to be told there
+    (line,) = upstream.connections
+    line.suspected_at = w.node.clock() + 60.0  # as after a set-up on it that was taken back
+    w.node.port._ensure_connection(upstream)  # something is to be told there
     w.until(lambda: not upstream.connecting)
     heard(w, client)
     assert not client.received("down") and ref in w.node.host.viewings
@@ -354,7 +358,7 @@
         w.until(client.is_closed)
         client.close()
     w.until(lambda: len(w.node.viewers.connections) == 22)
-    made = [o for o in gc.get_objects() if type(o) is Connection and o._lost.__self__ is w.node.viewers]
+    made = [o for o in gc.get_objects() if type(o) is Connection and o._on_closed.__self__ is w.node.viewers]
     assert sum(conn.sock.fileno() >= 0 for conn in made) == 22
     assert set(refs) == set(w.node.viewers.sessions)
 
@@ -371,7 +375,7 @@
         w.request_viewing(client) for _ in range(9)
     }  # at once: four connections are dialled, as many as there may be
     w.until(lambda: len(held) == 9)
-    assert {m["ref"] for _, m in held} == refs and len(w.node.port.lines()) == 4
+    assert {m["ref"] for _, m in held} == refs and len(w.node.port.connections()) == 4
 
 
 def test_the_list_is_heard_of_with_no_descriptor_left(world):
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -44,8 +44,8 @@
 def connected(w):
     """Connections stand everywhere, so that an attempt could leave at once."""
     for upstream in w.node.port.upstreams.values():
-        w.node.port._need(upstream)
-    w.until(lambda: all(upstream.lines for upstream in w.node.port.upstreams.values()))
+        w.node.port._ensure_connection(upstream)
+    w.until(lambda: all(upstream.connections for upstream in w.node.port.upstreams.values()))
 
 
 def next_tick(w):
@@ -182,15 +182,15 @@
     w.until(lambda: peer.received("new", first))
     peer.send(t="up", ref=first, d="plays")
     w.until(lambda: client.received("up", first))
-    (line,) = upstream.lines
+    (line,) = upstream.connections
     line.sock._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     ref = w.request_viewing(client, left="30000", d="x" * 15800)
-    w.until(lambda: line.behind)
+    w.until(lambda: line.unsent_bytes)
     goes(client, ref, how)
     w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.1)
     # Only now its streamer reads on.
-    w.until(lambda: peer.is_closed() or not line.behind)
+    w.until(lambda: peer.is_closed() or not line.unsent_bytes)
     gevent.sleep(0.1)
     assert not peer.received("new", ref)
     listener.close()
@@ -224,7 +224,7 @@
     (conn,) = w.node.viewers.connections
     conn.sock._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     held[0][0].send(t="up", ref=ref, d="x" * 15800)
-    w.until(lambda: conn.behind)
+    w.until(lambda: conn.unsent_bytes)
     client.close()
     w.until(lambda: streamer.received_count("down", ref))
     w.until(lambda: not w.node.host.viewings and not w.node.viewers.sessions)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -116,7 +116,7 @@
     v.close()
     w.until(lambda: other.received("down", ref))
     other.send(t="ack", ref=ref)
-    w.until(lambda: not w.node.viewers.unheard)
+    w.until(lambda: not w.node.viewers.unacknowledged)
 
 
 def test_a_silent_streamer_loses_its_viewings_within_the_time_for_it(world):
@@ -150,7 +150,7 @@
     w = world(streamers=2)
     r = w.resolver
     r.filter_answer = lambda data: None
-    w.until(lambda: w.node.resolver.bad > 1)
+    w.until(lambda: w.node.resolver.failures > 1)
     w.draining.add("s-00000000")
     r.serial = 5
     spoils = (
--- a/tests/test_node_streamers.py
+++ b/tests/test_node_streamers.py
@@ -52,13 +52,13 @@
     w = world(streamers=1, Grades=PATIENT)
     v = w.viewer()
     waiting = playing_at_once(w, v, 4)
-    lines = w.node.port.lines()
+    lines = w.node.port.connections()
     assert len(lines) == 4
     for line in lines:
-        line.spoke -= 60.0  # long idle: the next look lets two of them go
+        line.last_received -= 60.0  # long idle: the next look lets two of them go
     for peer, m in waiting:
         peer.send(t="down", ref=m["ref"], c=16)
-    w.node.port.tend()  # before anything of this has been read
+    w.node.port.maintain()  # before anything of this has been read
     w.until(lambda: len(v.received("down")) == 4, seconds=1.0)
 
 
@@ -112,18 +112,18 @@
         gevent.sleep(time_out)
         raise TimeoutError("timed out")
 
-    port._open = hangs
+    port._connect = hangs
     v = w.viewer()
     ref = w.request_viewing(v)
     w.until(lambda: port.attempts)
     w.streamers.clear()
     w.resolver.serial = 2
-    w.node.resolver.nudge.set()
-    w.until(lambda: port.upstreams[name].gone)
-    port.tend()
+    w.node.resolver.poll_now.set()
+    w.until(lambda: port.upstreams[name].delisted)
+    port.maintain()
     assert name in port.upstreams  # its tune-in is on no line yet, and has to be called off
     w.until(lambda: v.received("down", ref))
-    port.tend()
+    port.maintain()
     assert name not in port.upstreams
 
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -54,9 +54,9 @@
 
 def test_a_release_goes_on_what_stands_and_is_not_told_again_where_all_was_read(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
-    w.node.port._need(w.node.port.upstreams["s-00000000"])
+    w.node.port._ensure_connection(w.node.port.upstreams["s-00000000"])
     other = listener.wait_for_connection()
-    w.until(lambda: len(w.node.port.lines()) == 2)
+    w.until(lambda: len(w.node.port.connections()) == 2)
     client.send(t="down", ref=ref, c=16)
     w.until(lambda: client.received("ack", ref))
     w.until(lambda: peer.received("down", ref) or other.received("down", ref))
@@ -90,7 +90,7 @@
     peer.send(t="down", ref=ref, c=16)
     w.until(lambda: client.received("down", ref))
     peer.reset()  # the other may have been set up, and play to nobody
-    w.until(lambda: w.node.port.upstreams["s-00000000"].owed)
+    w.until(lambda: w.node.port.upstreams["s-00000000"].pending)
     client.send(t="down", ref=second, c=16)
     w.until(lambda: not w.node.viewers.sessions)
     gevent.spawn(w.node.stop)
@@ -115,7 +115,7 @@
     client.reset()
     w.until(lambda: not w.node.viewers.connections)
     streamer.kill()
-    w.until(lambda: ref in w.node.viewers.owed)
+    w.until(lambda: ref in w.node.viewers.pending_releases)
     # Nobody is left to play anything: each set-up is blocked, and no viewing will stand here for long.
     other = PlainPeer(w.address)
     refused = w.request_viewing(other)
@@ -134,7 +134,7 @@
     (name,) = [name for name, s in w.streamers.items() if s.set_ups]
     (sound,) = set(w.streamers) - {name}
     w.streamers[name].kill()
-    w.until(lambda: ref in w.node.viewers.owed)
+    w.until(lambda: ref in w.node.viewers.pending_releases)
     other = PlainPeer(w.address)
     hand_over(w, other, sound)
     w.until(lambda: other.received("down", ref), 0.5)
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -16,7 +16,7 @@
 from plain_peers import LONG_DEADLINES, PlainPeer, hold_all_set_ups, send_immediately
 
 from herongap.interface import StreamerStatus
-from herongap.node.resolver import PATIENCE
+from herongap.node.resolver import ANSWER_TIMEOUT_SECONDS
 
 STOP = 30.0  # seconds: over any time after which a silent streamer's viewings are lost
 
@@ -107,7 +107,7 @@
     w.resolver.serial += 1
     resolver.sendto(w.resolver.answer(asked[0][0]), asked[0][1])
     send_immediately(held[0][0], t="down", ref=ref, c=34)  # so that it goes on to the other at once
-    time.sleep(PATIENCE + 0.1)  # the process is late, and no other question is ever answered
+    time.sleep(ANSWER_TIMEOUT_SECONDS + 0.1)  # the process is late, and no other question is ever answered
     w.until(lambda: w.node.host.statuses[other] is StreamerStatus.LEAVING, 0.5)
     gevent.sleep(0.3)
     assert not w.streamers[other].set_ups
