--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -14,7 +14,6 @@
 import gevent
 import pytest
 from helpers import closing
-from herongap.platform.lines import MAX_LINE_BYTES
 from node_world import SETTINGS, World
 from plain_peers import (
     LONG_DEADLINES,
@@ -30,6 +29,7 @@
 import herongap.limiter
 from herongap.interface import StreamerStatus
 from herongap.node.connection import Connection
+from herongap.platform.lines import MAX_LINE_BYTES
 
 NOISE = {
     "no message": b"\x00\xff noise\n",
