--- a/tests/node_world.py
+++ b/tests/node_world.py
@@ -1,4 +1,4 @@
-"""A controller of the platform on loopback: its configuration, a resolver, streamers and a viewers' side."""
+"""A platform controller on loopback, with its configuration, a fake resolver, fake streamers and viewers."""
 
 import json
 import os
@@ -37,6 +37,7 @@
 
 
 def free_address() -> tuple[str, int]:
+    """Return an address on which nothing listens."""
     sock = listen(("127.0.0.1", 0))
     try:
         return sock.getsockname()
@@ -45,7 +46,7 @@
 
 
 class Peer:
-    """A connection of JSON lines, read by a greenlet; `got` has all that came."""
+    """A connection of JSON lines, read by a greenlet; `messages` are all that it received."""
 
     def __init__(self, sock):
         self.sock, self.messages, self.ended = sock, [], False
@@ -68,14 +69,15 @@
         self.sock.sendall(data)
 
     def received(self, t: str, ref: str | None = None) -> list[dict]:
-        return [m for m in self.messages if m["t"] == t and ref in (None, m["ref"])]
+        """Return the received messages of type `t`, with the id `ref` if given."""
+        return [message for message in self.messages if message["t"] == t and ref in (None, message["ref"])]
 
     def close(self):
         self.sock.close()
 
 
 class FakeStreamer:
-    """Answers set-ups as `does` says: a function of (peer, message); by default each plays."""
+    """A streamer that calls `on_set_up(peer, message)` for each set-up; by default each viewing plays."""
 
     def __init__(self, address=("127.0.0.1", 0)):
         self.listener = listen(address)
@@ -96,23 +98,25 @@
     def _serve(self, peer):
         seen = 0
         while not (peer.ended and seen == len(peer.messages)):
-            for m in peer.messages[seen:]:
+            for message in peer.messages[seen:]:
                 seen += 1
-                if m["t"] == "hb":
-                    peer.send(t="hb_ok", ref=m["ref"], c=1)
-                elif m["t"] == "new":
-                    self.set_ups.append(m)
-                    self.on_set_up(peer, m)
+                if message["t"] == "hb":
+                    peer.send(t="hb_ok", ref=message["ref"], c=1)
+                elif message["t"] == "new":
+                    self.set_ups.append(message)
+                    self.on_set_up(peer, message)
             gevent.sleep(0.002)
 
-    def play(self, peer, m):
-        peer.send(t="up", ref=m["ref"], d="answer to " + m["ref"])
+    def play(self, peer, message):
+        """Answer that the viewing plays."""
+        peer.send(t="up", ref=message["ref"], d="answer to " + message["ref"])
 
     def received_count(self, t: str, ref: str) -> int:
+        """Return how many messages of that type and id came, on all connections."""
         return sum(len(peer.received(t, ref)) for peer in self.peers)
 
     def kill(self):
-        """As a process that is killed: nobody listens, its connections are reset."""
+        """Stop like a killed process: the listener is closed and open connections are reset."""
         self.listener.close()
         self._greenlet.kill(block=False)
         for peer in self.peers:
@@ -126,7 +130,7 @@
 
 
 class FakeResolver:
-    """Tells `world.streamers`; `spoil` may change an answer's bytes, None drops it."""
+    """Answers with `world.streamers`; `filter_answer` returns an answer's bytes to send, None to drop it."""
 
     def __init__(self, world):
         self.world, self.filter_answer, self.query_count, self.serial = world, lambda data: data, 0, 1
@@ -147,29 +151,30 @@
                 self.sock.sendto(out, peer)
 
     def answer(self, data: bytes) -> bytes:
-        asked = dns.message.from_wire(data)
-        told = dns.message.make_response(asked)
-        name = asked.question[0].name
+        """Return the answer to a query."""
+        query = dns.message.from_wire(data)
+        response = dns.message.make_response(query)
+        name = query.question[0].name
         world = self.world
         soa = f"ns.fleet.local. op.fleet.local. {self.serial} 1 1 1 1"
-        told.authority.append(dns.rrset.from_text("fleet.local.", 0, "IN", "SOA", soa))
+        response.authority.append(dns.rrset.from_text("fleet.local.", 0, "IN", "SOA", soa))
         for i, (sid, streamer) in enumerate(world.streamers.items()):
             host, priority = f"{sid}.east.hosts.", int(sid in world.draining)
             text = f'"kind=std" "cell={i}" "started={world.started.get(sid, 0)}"'
             port = streamer.address[1]
-            told.answer += [dns.rrset.from_text(name, 0, "IN", "SRV", f"{priority} 40 {port} {host}")]
-            told.additional += [
+            response.answer += [dns.rrset.from_text(name, 0, "IN", "SRV", f"{priority} 40 {port} {host}")]
+            response.additional += [
                 dns.rrset.from_text(host, 0, "IN", "A", "127.0.0.1"),
                 dns.rrset.from_text(host, 0, "IN", "TXT", text),
             ]
-        return told.to_wire(max_size=8000)
+        return response.to_wire(max_size=8000)
 
     def close(self):
         self.sock.close()
 
 
 class World:
-    """One controller with `streamers` streamers, all of them holders of every title."""
+    """One controller with `streamers` fake streamers, all of which hold every title."""
 
     def __init__(self, folder, streamers=3, sockets=256, clock=None, **settings):
         self.streamers = {f"s-{i:08x}": FakeStreamer() for i in range(streamers)}
@@ -184,37 +189,47 @@
         self.start()
 
     def start(self):
+        """Start the controller."""
         self.node = Node(str(self.path), self.clock)
         self.node.start()
 
-    def configure(self, names):
+    def configure(self, resolver_address):
+        """Write the configuration file."""
         servers = [
-            {"id": sid, "addr": "{}:{}".format(*s.address), "zone": "east", "kind": "std", "cell": i,
+            {"id": sid, "addr": "{}:{}".format(*streamer.address), "zone": "east", "kind": "std", "cell": i,
              "state": "Ready", "weight": 4, "started_ms": 0}
-            for i, (sid, s) in enumerate(self.streamers.items())
+            for i, (sid, streamer) in enumerate(self.streamers.items())
         ]  # fmt: skip
         event = {"cursor": 1, "nodes": {"version": 1, "full": True, "servers": servers}}
         self.path.write_text(json.dumps({
             "name": "n0", "listen": "{}:{}".format(*self.address), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
-            "names": "{}:{}".format(*names), "known": {"cursor": 1, "cmds": [event]},
+            "names": "{}:{}".format(*resolver_address), "known": {"cursor": 1, "cmds": [event]},
             "settings": self.settings,
         }))  # fmt: skip
 
     def viewer(self) -> Peer:
+        """Open a connection of a viewer."""
         self.peers.append(Peer(socket.create_connection(self.address)))
         return self.peers[-1]
 
     def request_viewing(self, peer, ref=None, d=OFFER, **fields) -> str:
+        """Send a set-up and return its id; a field that is None is left out."""
         self.next_ref += 1
         ref = ref or f"{self.next_ref:016x}"
         f = {"class": "standard", "left": "1500", "tenant": "acme", "key": "7f3a9c21e0b4d655",
              "extras": "home:0;copies:3;top:2;viewer:00000000b4d65521"}  # fmt: skip
-        peer.send(t="new", ref=ref, f={k: v for k, v in (f | fields).items() if v is not None}, d=d)
+        peer.send(
+            t="new",
+            ref=ref,
+            f={name: value for name, value in (f | fields).items() if value is not None},
+            d=d,
+        )
         return ref
 
-    def until(self, true, seconds=3.0):
-        until(true, seconds)
+    def until(self, condition, seconds=3.0):
+        """Wait until the condition holds, for at most `seconds`."""
+        until(condition, seconds)
 
     def close(self):
         for part in (*self.peers, *self.streamers.values(), self.resolver):
@@ -223,7 +238,7 @@
 
 
 class ProcessWorld(World):
-    """The same with the controller in a process of its own, within its limit of descriptors."""
+    """The same with the controller in its own process, whose descriptors are limited to `sockets`."""
 
     def start(self):
         self.log = open(self.path.with_name("log"), "w+")  # noqa: SIM115
@@ -237,9 +252,9 @@
         until(lambda: self.log_lines("ready"), 30.0)
 
     def log_lines(self, event: str) -> list[dict]:
-        """The lines of its log with that event."""
+        """Return the lines of the controller's log with that event."""
         lines = self.path.with_name("log").read_text().splitlines()
-        return [told for told in map(json.loads, lines) if told["event"] == event]
+        return [entry for entry in map(json.loads, lines) if entry["event"] == event]
 
     def close(self):
         self.process.kill()
--- a/tests/plain_peers.py
+++ b/tests/plain_peers.py
@@ -1,7 +1,7 @@
-"""Peers of the platform's tests that act at stated steps: plain sockets, whose calls let no greenlet run.
+"""Peers with plain sockets, whose calls let no greenlet run, so that a test controls every step.
 
-Between two calls that wait (`until`, `gevent.sleep`) the controller under test does nothing, as a process
-that is late does. So what reached it meanwhile, and in which order, is the test's to say.
+Between two calls that wait (`until`, `gevent.sleep`) the controller under test does nothing, like a process
+that runs late. The test thereby decides what has arrived when the controller continues, and in which order.
 """
 
 import json
@@ -11,51 +11,51 @@
 from helpers import until
 from node_world import OFFER, SETTINGS
 
-# Nothing is due for long: what happens is the test's to say.
+# No time-out falls due during a test.
 LONG_DEADLINES = dict(
     Grades=[{**grade, "Aim": 20000.0, "Deadline": 40000.0} for grade in SETTINGS["Grades"]],
     Allowed=SETTINGS["Allowed"] | {"ConnectTimeout": 5000.0},
 )
 
 
-def line(**message) -> bytes:
-    """A message as it goes over a connection."""
+def encode_line(**message) -> bytes:
+    """Encode a message."""
     return json.dumps({"f": {}, **message}).encode() + b"\n"
 
 
 def set_up(ref: str) -> bytes:
-    """A whole set-up, to be sent in parts, or with something behind it."""
+    """Encode a complete set-up, to be sent in parts or together with other data."""
     f = {"class": "standard", "left": "30000", "key": "7f3a9c21e0b4d655",
          "extras": "home:0;copies:3;top:2;viewer:00000000b4d65521"}  # fmt: skip
-    return line(t="new", ref=ref, d=OFFER, f=f)
+    return encode_line(t="new", ref=ref, d=OFFER, f=f)
 
 
 def hand_over(w, peer, name, ref="0123456789abcdef"):
-    """A viewing that plays at that streamer already, told as to a controller that has just started."""
+    """Send the set-up of a viewing that plays at that streamer already, as to a restarted controller."""
     w.request_viewing(peer, ref, left="9007199254740991", d="",
-          extras=f"home:0;copies:3;top:2;viewer:00000000b4d65521;at:{name}")  # fmt: skip
+                      extras=f"home:0;copies:3;top:2;viewer:00000000b4d65521;at:{name}")  # fmt: skip
 
 
 def hold_set_ups(held: list):
-    """A streamer that keeps what it is asked until the test answers."""
-    return lambda peer, m: held.append((peer, m))
+    """Return an `on_set_up` that leaves set-ups unanswered and appends (peer, message) to `held`."""
+    return lambda peer, message: held.append((peer, message))
 
 
 def hold_all_set_ups(w) -> list:
-    """Every streamer keeps what it is asked: (peer, message) for each, in the order in which they came."""
+    """Have every streamer leave set-ups unanswered; return the list to which each adds (peer, message)."""
     held = []
-    for s in w.streamers.values():
-        s.on_set_up = hold_set_ups(held)
+    for streamer in w.streamers.values():
+        streamer.on_set_up = hold_set_ups(held)
     return held
 
 
 def send_immediately(peer, **message):
-    """What a streamer of the test's says, written at once: no greenlet runs before."""
-    peer.sock._sock.sendall(line(**message))
+    """Send a message of a fake streamer before any other greenlet runs."""
+    peer.sock._sock.sendall(encode_line(**message))
 
 
 class PlainPeer:
-    """A connection of JSON lines whose reads are the test's own. `small`: its system holds little for it."""
+    """A connection of JSON lines that reads only when the test does; `small_buffer` shrinks its buffer."""
 
     def __init__(self, address=None, sock=None, small_buffer=False):
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -67,13 +67,13 @@
         self.data, self.ended = b"", False
 
     def send(self, **message):
-        self.send_raw(line(**message))
+        self.send_raw(encode_line(**message))
 
     def send_raw(self, data: bytes):
         self.sock.sendall(data)
 
     def read(self) -> list[dict]:
-        """All whole messages so far; what has come is read, and nothing is waited for."""
+        """Read what has arrived, without waiting; return all complete messages so far."""
         with suppress(BlockingIOError):
             try:
                 while not self.ended:
@@ -84,13 +84,16 @@
         return [json.loads(line) for line in self.data.split(b"\n")[:-1] if line]
 
     def received(self, t: str, ref: str | None = None) -> list[dict]:
-        return [m for m in self.read() if m["t"] == t and ref in (None, m["ref"])]
+        """Return the received messages of type `t`, with the id `ref` if given."""
+        return [message for message in self.read() if message["t"] == t and ref in (None, message["ref"])]
 
     def is_closed(self) -> bool:
+        """Whether the other side has closed or reset the connection."""
         self.read()
         return self.ended
 
     def reset(self):
+        """Close the connection with a reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
@@ -99,8 +102,10 @@
 
 
 class ManualListener:
-    """A streamer's listener that takes a connection when the test says so, and can be `full`: then the next
-    one comes up about 1 s after there is room again, as its machine asks once more.
+    """A streamer's listener that accepts a connection only when the test says so.
+
+    Its backlog can be filled. The next connection then opens about 1 s after there is room again, when the
+    system of the connecting side repeats its SYN.
     """
 
     def __init__(self, small_buffer=False):
@@ -113,6 +118,7 @@
         self.fillers, self.peers = [], []
 
     def fill_backlog(self):
+        """Fill the backlog, so that further connections stay pending."""
         while True:
             filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             filler.settimeout(0.1)
@@ -123,7 +129,7 @@
                 return
 
     def clear_backlog(self):
-        """Make room, with whatever had come up of the fillers closed."""
+        """Make room in the backlog by closing the connections that fill it."""
         for filler in self.fillers:
             filler.close()
         self.sock.setblocking(False)
@@ -132,7 +138,7 @@
                 self.sock.accept()[0].close()
 
     def accept_if_waiting(self) -> bool:
-        """Whether a connection waits to be taken; it is."""
+        """Accept a connection if one is waiting; whether there was one."""
         self.sock.setblocking(False)
         with suppress(BlockingIOError):
             self.peers.append(PlainPeer(sock=self.sock.accept()[0]))
@@ -140,13 +146,13 @@
         return False
 
     def accept_blocking(self, seconds=4.0) -> PlainPeer:
-        """The next connection that comes up. Nothing else runs meanwhile."""
+        """Return the next connection; no greenlet runs while it waits."""
         self.sock.settimeout(seconds)
         self.peers.append(PlainPeer(sock=self.sock.accept()[0]))
         return self.peers[-1]
 
     def wait_for_connection(self) -> PlainPeer:
-        """The same, while everything runs on."""
+        """Return the next connection, while other greenlets run."""
         until(self.accept_if_waiting)
         return self.peers[-1]
 
