--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -1,4 +1,4 @@
-"""Which connections of viewers are kept, without sockets."""
+"""Which connections a controller keeps, without sockets."""
 
 from types import SimpleNamespace
 
@@ -15,72 +15,74 @@
 from herongap.observe import Seldom
 
 
-def nobody(who):
+def never(client):
     return False
 
 
-def anybody(who):
+def always(client):
     return True
 
 
-def test_mute_connections_go_first_then_those_longest_without_use():
+def test_silent_connections_are_closed_first_then_the_least_recently_used():
     limiter = ConnectionLimiter(3)
-    for i, who in enumerate("abc"):
-        assert limiter.add(i / 10, who, anybody) == []
+    for i, client in enumerate("abc"):
+        assert limiter.add(i / 10, client, always) == []
     limiter.message_received(1.0, "a")
     limiter.message_received(2.0, "c")
-    assert limiter.add(2.1, "d", anybody) == ["b"]
+    assert limiter.add(2.1, "d", always) == ["b"]
     limiter.message_received(2.2, "d")
-    assert limiter.add(2.3, "e", anybody) == ["a"]
+    assert limiter.add(2.3, "e", always) == ["a"]
 
 
-def test_one_with_a_set_up_open_or_bytes_unread_is_not_shed():
+def test_a_connection_with_an_unanswered_set_up_or_unread_data_is_not_closed():
     limiter = ConnectionLimiter(2)
-    limiter.add(0.0, "a", anybody)
-    limiter.add(0.0, "b", anybody)
+    limiter.add(0.0, "a", always)
+    limiter.add(0.0, "b", always)
     limiter.set_up_accepted("a")
-    assert limiter.add(1.0, "c", lambda who: who != "b") == ["c"]
+    assert limiter.add(1.0, "c", lambda client: client != "b") == ["c"]
     limiter.set_up_answered("a")
-    assert limiter.add(1.0, "d", lambda who: who != "b") == ["a"]
+    assert limiter.add(1.0, "d", lambda client: client != "b") == ["a"]
 
 
-def test_a_newcomer_is_kept_where_nobody_else_may_go_until_descriptors_end():
+def test_a_new_connection_is_kept_up_to_the_hard_limit_if_no_other_may_be_closed():
     limiter = ConnectionLimiter(2, 3)
-    for who in "ab":
-        limiter.add(0.0, who, anybody)
-        limiter.set_up_accepted(who)
-    assert limiter.add(1.0, "c", anybody) == []
-    assert limiter.add(1.0, "d", nobody) == ["d"] and len(limiter.clients) == 3
+    for client in "ab":
+        limiter.add(0.0, client, always)
+        limiter.set_up_accepted(client)
+    assert limiter.add(1.0, "c", always) == []
+    assert limiter.add(1.0, "d", never) == ["d"] and len(limiter.clients) == 3
     limiter.set_up_answered("a")
-    assert limiter.add(1.0, "e", anybody) == ["a", "c"], "until it is as many as are kept again"
+    assert limiter.add(1.0, "e", always) == ["a", "c"], (
+        "closed until there are no more than `max_connections` again"
+    )
 
 
-def test_silence_ends_a_connection_that_never_spoke_and_no_other():
+def test_only_a_connection_that_never_sent_a_message_is_closed_for_silence():
     limiter = ConnectionLimiter(9)
-    limiter.add(0.0, "mute", anybody)
-    limiter.add(0.0, "spoke", anybody)
-    limiter.message_received(0.1, "spoke")
-    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS - 0.1, anybody, nobody)) == []
-    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS + 0.1, nobody, nobody)) == []
-    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS + 0.1, anybody, nobody)) == ["mute"]
-    assert list(limiter.pop_overdue(900.0, anybody, nobody)) == []
+    limiter.add(0.0, "silent", always)
+    limiter.add(0.0, "active", always)
+    limiter.message_received(0.1, "active")
+    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS - 0.1, always, never)) == []
+    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS + 0.1, never, never)) == []
+    assert list(limiter.pop_overdue(MESSAGE_TIMEOUT_SECONDS + 0.1, always, never)) == ["silent"]
+    assert list(limiter.pop_overdue(900.0, always, never)) == []
 
 
-def test_a_line_that_has_only_just_begun_on_an_idle_connection_may_still_end():
+def test_a_partial_line_on_an_idle_connection_has_the_full_message_timeout():
     limiter = ConnectionLimiter(9)
-    limiter.add(0.0, "a", anybody)
+    limiter.add(0.0, "a", always)
     limiter.message_received(0.1, "a")
-    half = {"a"}.__contains__
-    assert list(limiter.pop_overdue(60.0, nobody, half)) == []
-    assert list(limiter.pop_overdue(60.0 + MESSAGE_TIMEOUT_SECONDS - 0.1, nobody, half)) == []
-    assert list(limiter.pop_overdue(60.0 + MESSAGE_TIMEOUT_SECONDS + 0.1, nobody, half)) == ["a"]
+    has_partial_line = {"a"}.__contains__
+    assert list(limiter.pop_overdue(60.0, never, has_partial_line)) == []
+    assert list(limiter.pop_overdue(60.0 + MESSAGE_TIMEOUT_SECONDS - 0.1, never, has_partial_line)) == []
+    assert list(limiter.pop_overdue(60.0 + MESSAGE_TIMEOUT_SECONDS + 0.1, never, has_partial_line)) == ["a"]
 
 
 def connection(last_received, suspected_at=None, attempts=()):
     return SimpleNamespace(last_received=last_received, suspected_at=suspected_at, attempts=attempts)
 
 
-def test_two_idle_connections_to_a_streamer_are_kept_and_doubted_ones_are_not():
+def test_two_idle_connections_to_a_streamer_are_kept_unless_suspected():
     busy, old, mid, new = connection(0.0, attempts=("a",)), connection(0.0), connection(1.0), connection(2.0)
     stale = STALE_IDLE_SHARE * 30.0
     assert connections_to_close(1.0 + stale, [busy, new, old, mid], True, 30.0) == [old]
@@ -90,16 +92,16 @@
     assert connections_to_close(3.1 + SUSPECT_TIMEOUT_SECONDS, [busy, new, mid], True, 30.0) == [mid]
 
 
-def test_no_connection_is_kept_that_its_streamer_may_close_under_a_set_up():
+def test_no_connection_is_kept_that_its_streamer_may_close_during_a_set_up():
     busy, old, new = connection(0.0, attempts=("a",)), connection(0.0), connection(1.0)
     assert connections_to_close(29.9, [busy, old, new], True, 30.0) == []
     assert connections_to_close(30.5, [busy, old, new], True, 30.0) == [old]
     assert connections_to_close(2.5, [busy, old, new], True, 2.0) == [old], (
-        "as the settings say, however short"
+        "the idle limit of the settings applies, however short"
     )
 
 
-def test_a_late_process_turns_away_until_it_has_been_in_time_for_a_while():
+def test_a_late_process_is_overloaded_until_it_has_been_on_time_for_a_while():
     limiter = ConnectionLimiter(9)
     limiter.record_lag(MAX_LAG_SECONDS / 2)
     assert not limiter.is_overloaded()
@@ -110,7 +112,7 @@
     assert not limiter.is_overloaded()
 
 
-def test_lines_of_one_kind_are_limited_and_what_was_left_out_is_counted():
+def test_log_lines_of_one_event_are_limited_and_the_omitted_ones_counted():
     now = [10.0]
     seldom = Seldom(2, lambda: now[0])
 
