--- a/tests/test_node_streamers.py
+++ b/tests/test_node_streamers.py
@@ -1,4 +1,4 @@
-"""The platform's controller on loopback: what it holds at streamers, and what becomes of that."""
+"""The platform controller on loopback: the viewings that it holds at streamers, and how they end."""
 
 import time
 
@@ -13,121 +13,122 @@
     yield from closing(World, tmp_path)
 
 
-def test_viewings_handed_over_are_held_and_their_ends_told(world):
+def test_viewings_that_are_handed_over_are_held_until_they_end(world):
     w = world()
-    v = w.viewer()
+    viewer = w.viewer()
     extras = "home:0;copies:3;top:2;viewer:01;at:"
-    at, gone = "s-00000001", "s-deadbeef"
-    first = w.request_viewing(v, left="4294967", extras=extras + at)
-    w.request_viewing(v, ref=first, left="4294967", extras=extras + at)  # those already held are passed over
-    lost = w.request_viewing(v, left="4294967", extras=extras + gone)
-    w.until(lambda: v.received("down", lost))  # where it would play, nobody is
-    w.until(lambda: w.streamers[at].peers)
-    peer = w.streamers[at].peers[0]
+    streamer, missing = "s-00000001", "s-deadbeef"
+    first = w.request_viewing(viewer, left="4294967", extras=extras + streamer)
+    # A viewing that is held already is ignored.
+    w.request_viewing(viewer, ref=first, left="4294967", extras=extras + streamer)
+    lost = w.request_viewing(viewer, left="4294967", extras=extras + missing)
+    w.until(lambda: viewer.received("down", lost))  # its streamer does not exist
+    w.until(lambda: w.streamers[streamer].peers)
+    peer = w.streamers[streamer].peers[0]
     peer.send(t="tell", ref=first, f={"note": "at_rung", "value": "2"})
     w.until(lambda: w.node.host.viewings[first].rung == 2)
     peer.send(t="down", ref=first, c=16)
-    w.until(lambda: v.received("down", first))
-    assert not v.received("up") and not w.node.host.viewings
+    w.until(lambda: viewer.received("down", first))
+    assert not viewer.received("up") and not w.node.host.viewings
 
 
-PATIENT = [dict(SETTINGS["Grades"][0], Aim=6000.0, Deadline=9000.0), SETTINGS["Grades"][1]]
+LONG_DEADLINES = [dict(SETTINGS["Grades"][0], Aim=6000.0, Deadline=9000.0), SETTINGS["Grades"][1]]
 
 
 def playing_at_once(w, viewer, number):
-    """Viewings whose set-ups were all open together, each on a connection; (peer, message) of each."""
-    (s,) = w.streamers.values()
+    """Start viewings at the same time, so that each has a connection; return (peer, message) of each."""
+    (streamer,) = w.streamers.values()
     waiting = []
-    s.on_set_up = lambda peer, m: waiting.append((peer, m))
+    streamer.on_set_up = lambda peer, message: waiting.append((peer, message))
     for i in range(number):
         w.request_viewing(viewer, left="8000")
         w.until(lambda: len(waiting) == i + 1)  # noqa: B023
-    for peer, m in waiting:
-        s.play(peer, m)
+    for peer, message in waiting:
+        streamer.play(peer, message)
     w.until(lambda: len(viewer.received("up")) == number)
     return waiting
 
 
-def test_a_release_on_its_way_is_not_lost_with_a_connection_that_is_let_go(world):
-    w = world(streamers=1, Grades=PATIENT)
-    v = w.viewer()
-    waiting = playing_at_once(w, v, 4)
-    lines = w.node.port.connections()
-    assert len(lines) == 4
-    for line in lines:
-        line.last_received -= 60.0  # long idle: the next look lets two of them go
-    for peer, m in waiting:
-        peer.send(t="down", ref=m["ref"], c=16)
-    w.node.port.maintain()  # before anything of this has been read
-    w.until(lambda: len(v.received("down")) == 4, seconds=1.0)
+def test_a_release_in_transit_is_not_lost_when_a_surplus_connection_is_closed(world):
+    w = world(streamers=1, Grades=LONG_DEADLINES)
+    viewer = w.viewer()
+    waiting = playing_at_once(w, viewer, 4)
+    connections = w.node.port.connections()
+    assert len(connections) == 4
+    for connection in connections:
+        connection.last_received -= 60.0  # long idle: the next maintenance closes two of them
+    for peer, message in waiting:
+        peer.send(t="down", ref=message["ref"], c=16)
+    w.node.port.maintain()  # before any of the releases has been read
+    w.until(lambda: len(viewer.received("down")) == 4, seconds=1.0)
 
 
-def test_a_connection_that_breaks_while_idle_is_replaced_where_viewings_play(world):
-    w = world(streamers=1, Grades=PATIENT)
-    (s,) = w.streamers.values()
+def test_a_broken_idle_connection_is_replaced_if_viewings_play_at_the_streamer(world):
+    w = world(streamers=1, Grades=LONG_DEADLINES)
+    (streamer,) = w.streamers.values()
     waiting = playing_at_once(w, w.viewer(), 2)
     waiting[0][0].close()
-    w.until(lambda: len(s.peers) == 3)
+    w.until(lambda: len(streamer.peers) == 3)
 
 
-def test_another_id_at_a_streamers_address_ends_what_played_there(world):
+def test_another_streamer_at_an_address_ends_the_viewings_of_the_old_one(world):
     w = world(streamers=2)
-    v = w.viewer()
-    ref = w.request_viewing(v)
-    w.until(lambda: v.received("up", ref))
+    viewer = w.viewer()
+    ref = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("up", ref))
     old = w.node.host.viewings[ref].streamer
     same = w.streamers.pop(old)
-    w.streamers["s-00000009"] = same  # it answers tests all the while
+    w.streamers["s-00000009"] = same  # it answers heartbeats all the time
     w.resolver.serial += 1
-    w.until(lambda: v.received("down", ref))
-    again = w.request_viewing(v)
-    w.until(lambda: v.received("up", again))
+    w.until(lambda: viewer.received("down", ref))
+    again = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("up", again))
     assert w.node.host.viewings[again].streamer != old
 
 
-def test_a_streamer_that_has_just_started_is_sent_no_more_than_its_pace(world):
+def test_a_starting_streamer_gets_no_more_set_ups_than_slow_start_allows(world):
     places = dict(SETTINGS["FamilyInfo"], KindSlots=[20])
     w = world(streamers=1, FamilyInfo=places)
     (sid,) = w.streamers
     w.started[sid] = int(time.time() * 1000)
     w.resolver.serial = 2
     w.until(lambda: w.node.resolver.serial == 2)
-    v = w.viewer()
+    viewer = w.viewer()
     refs = []
     for _ in range(20):
-        refs.append(w.request_viewing(v))
+        refs.append(w.request_viewing(viewer))
         gevent.sleep(0.05)
-    w.until(lambda: len(v.received("up")) + len(v.received("down")) == 20)
-    # 20 places over 12 s, at 0.4 of its warmth, 2.5 times: under two a second, for all controllers together.
+    w.until(lambda: len(viewer.received("up")) + len(viewer.received("down")) == 20)
+    # 20 places over 12 s, at 0.4 of the full rate, times 2.5: under two a second, for all controllers.
     assert len(w.streamers[sid].set_ups) <= 2
-    assert all(m["c"] == 34 for m in v.received("down"))
+    assert all(message["c"] == 34 for message in viewer.received("down"))
 
 
-def test_a_streamer_that_leaves_while_a_connection_to_it_comes_up_costs_nobody_an_answer(world):
+def test_a_set_up_is_answered_though_its_streamer_leaves_while_it_is_dialled(world):
     w = world(streamers=1)
     port = w.node.port
     (name,) = w.streamers
 
-    def hangs(upstream, time_out):
+    def hang(upstream, time_out):
         gevent.sleep(time_out)
         raise TimeoutError("timed out")
 
-    port._connect = hangs
-    v = w.viewer()
-    ref = w.request_viewing(v)
+    port._connect = hang
+    viewer = w.viewer()
+    ref = w.request_viewing(viewer)
     w.until(lambda: port.attempts)
     w.streamers.clear()
     w.resolver.serial = 2
     w.node.resolver.poll_now.set()
     w.until(lambda: port.upstreams[name].delisted)
     port.maintain()
-    assert name in port.upstreams  # its tune-in is on no line yet, and has to be called off
-    w.until(lambda: v.received("down", ref))
+    assert name in port.upstreams  # its tune-in has no connection yet, and must be called off
+    w.until(lambda: viewer.received("down", ref))
     port.maintain()
     assert name not in port.upstreams
 
 
-def test_the_timer_goes_on_after_a_fault_of_ours(world, monkeypatch):
+def test_the_timer_continues_after_an_internal_error(world, monkeypatch):
     w = world()
     woken = []
 
