--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,7 +1,7 @@
-"""No attempt begins for a client that has gone, whatever its request waits for meanwhile.
+"""No attempt begins for a client that has gone, whatever its request was waiting for.
 
-In each test the close, or the cancellation, has reached the controller's machine and lies unread at the
-moment at which an attempt could leave: the process was late. The limit is none at all, of 0.1 s.
+In each test the process is late: the close or the cancellation has arrived and is unread when an attempt
+could be sent. The limit is 0.1 s after the client has gone; these tests allow no attempt at all.
 """
 
 import socket
@@ -21,7 +21,7 @@
     set_up,
 )
 
-GOES = ["closes", "resets", "cancels"]
+WAYS_TO_LEAVE = ["closes", "resets", "cancels"]
 
 
 @pytest.fixture
@@ -29,89 +29,89 @@
     yield from closing(World, tmp_path)
 
 
-def goes(client, ref, how):
-    """The client gives up one set-up, as `how` says."""
+def leave(client, ref, how):
+    """Have the client give up one set-up, as `how` says."""
     if how == "cancels":
         client.send(t="down", ref=ref, c=16)
     else:
         client.close() if how == "closes" else client.reset()
 
 
-def news(w):
-    return [m["ref"] for s in w.streamers.values() for m in s.set_ups]
+def set_up_ids(w):
+    """Return the ids of all set-ups that streamers received."""
+    return [message["ref"] for streamer in w.streamers.values() for message in streamer.set_ups]
 
 
-def connected(w):
-    """Connections stand everywhere, so that an attempt could leave at once."""
+def connect_all(w):
+    """Open a connection to each streamer, so that an attempt could be sent at once."""
     for upstream in w.node.port.upstreams.values():
         w.node.port._ensure_connection(upstream)
     w.until(lambda: all(upstream.connections for upstream in w.node.port.upstreams.values()))
 
 
 def next_tick(w):
-    """The controller's periodic job has run since: what it reckons from what was heard stands."""
-    period = w.node.host.module.next_tick_at
-    w.until(lambda: w.node.host.module.next_tick_at > period)
+    """Wait until the deciding module's periodic job has run: its estimates include all reports so far."""
+    before = w.node.host.module.next_tick_at
+    w.until(lambda: w.node.host.module.next_tick_at > before)
 
 
 @pytest.mark.parametrize("first", [True, False])
-@pytest.mark.parametrize("how", GOES)
-def test_no_further_attempt_for_a_client_whose_leaving_lies_unread(world, how, first):
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_no_further_attempt_for_a_client_whose_leaving_is_unread(world, how, first):
     w = world(**LONG_DEADLINES)
     held = hold_all_set_ups(w)
-    connected(w)
+    connect_all(w)
     client = PlainPeer(w.address)
     ref = w.request_viewing(client, left="30000")
     w.until(lambda: held)
-    if first:  # whichever of the two a loop of events comes to first
-        goes(client, ref, how)
+    if first:  # the event loop may handle either of the two first
+        leave(client, ref, how)
     send_immediately(held[0][0], t="down", ref=ref, c=34, f={"load": "x0:0.1;x1:0.1"})
     if not first:
-        goes(client, ref, how)
+        leave(client, ref, how)
     w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
-    assert news(w) == [ref]
+    assert set_up_ids(w) == [ref]
 
 
 @pytest.mark.parametrize("ticks", [True, False])
-def test_the_other_sessions_of_a_connection_that_is_looked_at_are_served(world, ticks):
+def test_other_sessions_on_a_connection_that_is_read_early_are_served(world, ticks):
     w = world(**LONG_DEADLINES)
     held = hold_all_set_ups(w)
     client = PlainPeer(w.address)
     ref, other = w.request_viewing(client, left="30000"), w.request_viewing(client, left="30000")
     w.until(lambda: len(held) == 2)
-    for peer, m in held:
-        # With its load, as streamers say it: their places are full, not their links nor their racks'.
-        send_immediately(peer, t="down", ref=m["ref"], c=34, f={"load": "x0:0.1;x1:0.1"})
+    for peer, message in held:
+        # With a load report: their places are full, and neither their links nor their racks are.
+        send_immediately(peer, t="down", ref=message["ref"], c=34, f={"load": "x0:0.1;x1:0.1"})
     del held[:]
-    # On the same connection, all unread as the two are to go on: a new one, the cancellation, half a line.
+    # Unread on the same connection when the two are retried: a new set-up, a cancellation, a partial line.
     third = w.request_viewing(client, left="30000")
     client.send(t="down", ref=ref, c=16)
     fourth = set_up("00000000000000ff")
     client.send_raw(fourth[:100])
     w.until(lambda: len(held) == 2)
-    assert {m["ref"] for _, m in held} == {other, third}
+    assert {message["ref"] for _, message in held} == {other, third}
     if ticks:
         next_tick(w)
     client.send_raw(fourth[100:])
     w.until(lambda: len(held) == 3)
-    for peer, m in held:
-        peer.send(t="up", ref=m["ref"], d="answer to " + m["ref"])
+    for peer, message in held:
+        peer.send(t="up", ref=message["ref"], d="answer to " + message["ref"])
     w.until(lambda: len(client.received("up")) == 3)
-    assert {m["ref"] for m in client.received("up")} == {other, third, "00000000000000ff"}
+    assert {message["ref"] for message in client.received("up")} == {other, third, "00000000000000ff"}
     assert not client.received("down") and not client.received("up", ref)
 
 
 @pytest.mark.parametrize("ticks", [True, False])
-def test_one_refusal_is_no_word_of_what_all_others_bear(world, ticks):
+def test_one_refusal_does_not_limit_what_other_streamers_get(world, ticks):
     w = world(**LONG_DEADLINES)
     held = hold_all_set_ups(w)
     client = PlainPeer(w.address)
     ref = w.request_viewing(client, left="30000")
     w.until(lambda: held)
-    send_immediately(
-        held[0][0], t="down", ref=ref, c=34
-    )  # by load, which it does not tell: the only word there is
+    # Refused for load, without a load report: the only information about any streamer's load.
+    send_immediately(held[0][0], t="down", ref=ref, c=34)
     w.until(lambda: len(held) == 2)
     if ticks:
         next_tick(w)
@@ -120,8 +120,8 @@
 
 
 @pytest.mark.parametrize("first", [True, False])
-@pytest.mark.parametrize("how", GOES)
-def test_no_attempt_on_a_connection_that_comes_up_after_its_client_has_gone(world, how, first):
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_no_attempt_on_a_connection_that_opens_after_its_client_has_gone(world, how, first):
     w = world(streamers=1, **LONG_DEADLINES)
     listener = ManualListener()
     (name,) = w.streamers
@@ -132,45 +132,45 @@
     w.until(lambda: w.node.port.upstreams[name].connecting)
     listener.clear_backlog()
     if first:
-        goes(client, ref, how)
+        leave(client, ref, how)
     peer = (
         listener.accept_blocking()
-    )  # 1 s or so; the controller is late all that time, and finds both at once
+    )  # about 1 s, in which the controller does nothing: it finds both at once
     if not first:
-        goes(client, ref, how)
+        leave(client, ref, how)
     w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
     assert not peer.received("new")
     listener.close()
 
 
-@pytest.mark.parametrize("how", GOES)
-def test_no_attempt_at_a_cold_turn_after_its_client_has_gone(world, how):
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_no_attempt_in_a_slow_start_slot_after_its_client_has_gone(world, how):
     few = SETTINGS["FamilyInfo"] | {"KindSlots": [100]}
     w = world(streamers=1, FleetSize=8, FamilyInfo=few, **LONG_DEADLINES)
     (name,) = w.streamers
-    # It has just started, and turns at it come seldom.
+    # The streamer has just started, and slots for set-ups at it are rare.
     w.started[name] = int(time.time() * 1000)
     w.resolver.serial += 1
     w.until(lambda: w.node.host.module.streamers[name].entry.started)
-    connected(w)
-    turns, st = w.node.host.module.slow_start, w.node.host.module.streamers[name]
-    begins = lambda: turns.next_slot(w.node.clock(), st) * turns.slot_seconds - w.node.clock()  # noqa: E731
-    w.until(lambda: begins() > 2 * turns.slot_seconds)
+    connect_all(w)
+    slots, streamer = w.node.host.module.slow_start, w.node.host.module.streamers[name]
+    to_slot = lambda: slots.next_slot(w.node.clock(), streamer) * slots.slot_seconds - w.node.clock()  # noqa: E731
+    w.until(lambda: to_slot() > 2 * slots.slot_seconds)
     client = PlainPeer(w.address)
     ref = w.request_viewing(client, left="30000")
     w.until(lambda: ref in w.node.host.viewings)
-    assert begins() > 0 and not news(w), "it waits for its turn"
-    goes(client, ref, how)
-    # Late until within its turn.
-    time.sleep(begins() + 0.5 * turns.slot_seconds)
+    assert to_slot() > 0 and not set_up_ids(w), "it waits for its slot"
+    leave(client, ref, how)
+    # The process is late until the middle of the slot.
+    time.sleep(to_slot() + 0.5 * slots.slot_seconds)
     w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.3)
-    assert not news(w)
+    assert not set_up_ids(w)
 
 
-@pytest.mark.parametrize("how", GOES)
-def test_a_set_up_that_waits_behind_a_full_buffer_never_arrives_whole(world, how):
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_a_set_up_behind_a_full_send_buffer_never_arrives_in_full(world, how):
     w = world(streamers=1, **LONG_DEADLINES)
     listener = ManualListener(small_buffer=True)
     (name,) = w.streamers
@@ -182,22 +182,22 @@
     w.until(lambda: peer.received("new", first))
     peer.send(t="up", ref=first, d="plays")
     w.until(lambda: client.received("up", first))
-    (line,) = upstream.connections
-    line.sock._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
+    (connection,) = upstream.connections
+    connection.sock._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
     ref = w.request_viewing(client, left="30000", d="x" * 15800)
-    w.until(lambda: line.unsent_bytes)
-    goes(client, ref, how)
+    w.until(lambda: connection.unsent_bytes)
+    leave(client, ref, how)
     w.until(lambda: ref not in w.node.host.viewings)
     gevent.sleep(0.1)
-    # Only now its streamer reads on.
-    w.until(lambda: peer.is_closed() or not line.unsent_bytes)
+    # The streamer reads on only now.
+    w.until(lambda: peer.is_closed() or not connection.unsent_bytes)
     gevent.sleep(0.1)
     assert not peer.received("new", ref)
     listener.close()
 
 
 @pytest.mark.parametrize("first", [True, False])
-def test_an_answer_for_a_client_that_has_gone_is_let_go_at_its_streamer(world, first):
+def test_a_viewing_that_starts_after_its_client_has_gone_is_released(world, first):
     w = world(streamers=1, **LONG_DEADLINES)
     held = []
     (streamer,) = w.streamers.values()
@@ -213,7 +213,7 @@
     assert not w.node.host.viewings
 
 
-def test_an_answer_that_its_client_never_got_whole_is_no_viewing(world):
+def test_a_viewing_whose_answer_never_arrived_in_full_is_released(world):
     w = world(streamers=1, **LONG_DEADLINES)
     (streamer,) = w.streamers.values()
     held = []
