--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,7 +1,7 @@
-"""Releases on their way when something ends: to a streamer, and to a viewer's side, on real connections.
+"""Releases that are in transit when something ends: to a streamer, and to a viewer, on real connections.
 
-A release is owed until it is heard. Each test has the peer that should hear it reset its connection, or take
-none, at the stated step.
+A release is pending until it is acknowledged. In each test the peer that should receive it resets its
+connection, or accepts none, at a certain step.
 """
 
 import time
@@ -19,7 +19,7 @@
 
 
 def world_with_manual_streamer(world, **more):
-    """A controller whose one streamer is the test's, connection by connection; a viewing that plays there."""
+    """Start a viewing at a streamer that is played by the test, connection by connection."""
     w = world(streamers=1, **more)
     (upstream,) = w.node.port.upstreams.values()
     listener = ManualListener()
@@ -33,17 +33,17 @@
     return w, listener, client, peer, ref
 
 
-# Towards streamers.
+# Releases to streamers.
 
 
-def test_a_release_that_its_streamer_reset_unread_is_told_again(world):
+def test_a_release_that_was_reset_unread_is_sent_again(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
     client.send(t="down", ref=ref, c=16)
-    w.until(lambda: client.received("ack", ref))  # so the release has left, and lies unread at its streamer
+    w.until(lambda: client.received("ack", ref))  # the release is sent, and unread at the streamer
     peer.reset()
     again = listener.wait_for_connection()
     w.until(lambda: again.received("down", ref))
-    # Answered it is told no more.
+    # Once it is answered it is not sent again.
     again.send(t="down", ref=ref, c=31)
     w.until(lambda: not w.node.host.viewings)
     again.reset()
@@ -52,7 +52,7 @@
     listener.close()
 
 
-def test_a_release_goes_on_what_stands_and_is_not_told_again_where_all_was_read(world):
+def test_a_lost_release_is_sent_on_another_open_connection(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
     w.node.port._ensure_connection(w.node.port.upstreams["s-00000000"])
     other = listener.wait_for_connection()
@@ -60,42 +60,42 @@
     client.send(t="down", ref=ref, c=16)
     w.until(lambda: client.received("ack", ref))
     w.until(lambda: peer.received("down", ref) or other.received("down", ref))
-    told, spare = (peer, other) if peer.received("down", ref) else (other, peer)
-    told.reset()  # it had read it and has not answered: nobody here can know
-    w.until(lambda: spare.received("down", ref))
-    assert not listener.accept_if_waiting(), "no connection is made for what another one can carry"
+    first, second = (peer, other) if peer.received("down", ref) else (other, peer)
+    first.reset()  # it read the release, which the controller cannot know without an answer
+    w.until(lambda: second.received("down", ref))
+    assert not listener.accept_if_waiting(), "no connection is opened while another one can carry it"
     listener.close()
 
 
-def test_one_that_was_silent_is_told_of_all_that_it_may_play_to_nobody(world):
+def test_a_silent_streamer_gets_all_releases_when_it_is_back(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
     second = w.request_viewing(client)
     w.until(lambda: peer.received("new", second))
     peer.send(t="up", ref=second, d="plays")
     w.until(lambda: client.received("up", second))
-    client.send(t="down", ref=ref, c=16)  # into the connection of one that is cut off
+    client.send(t="down", ref=ref, c=16)  # as if it were cut off
     w.until(lambda: client.received("ack", ref))
-    w.node.port.upstreams["s-00000000"].liveness.last_heard -= 60.0  # nothing was heard for a minute
+    w.node.port.upstreams["s-00000000"].liveness.last_heard -= 60.0  # silent for a minute
     w.until(lambda: client.received("down", second))
-    again = listener.wait_for_connection()  # and now it is back
+    again = listener.wait_for_connection()  # it is back
     w.until(lambda: again.received("down", second) and again.received("down", ref))
     listener.close()
 
 
-def test_the_process_does_not_end_while_a_streamer_is_owed_a_release(world):
+def test_the_process_does_not_exit_while_a_release_is_pending(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world, **LONG_DEADLINES)
     second = w.request_viewing(client)
     w.until(lambda: peer.received("new", second))
     listener.fill_backlog()
     peer.send(t="down", ref=ref, c=16)
     w.until(lambda: client.received("down", ref))
-    peer.reset()  # the other may have been set up, and play to nobody
+    peer.reset()  # the second viewing may have started, and play to nobody
     w.until(lambda: w.node.port.upstreams["s-00000000"].pending)
     client.send(t="down", ref=second, c=16)
     w.until(lambda: not w.node.viewers.sessions)
     gevent.spawn(w.node.stop)
     gevent.sleep(1.2)
-    assert not w.node.stopped.is_set(), "nobody waits and nothing plays, but its streamer has not been told"
+    assert not w.node.stopped.is_set(), "no request waits and no viewing plays, but a release is pending"
     listener.clear_backlog()
     again = listener.wait_for_connection()
     w.until(lambda: again.received("down", second))
@@ -103,10 +103,10 @@
     listener.close()
 
 
-# Towards viewers.
+# Releases to viewers.
 
 
-def test_a_release_without_a_way_goes_on_the_next_connection_that_is_answered_whatever_the_answer(world):
+def test_a_pending_release_is_sent_on_the_next_connection_that_gets_any_answer(world):
     w = world(streamers=1)
     (streamer,) = w.streamers.values()
     client = PlainPeer(w.address)
@@ -116,62 +116,62 @@
     w.until(lambda: not w.node.viewers.connections)
     streamer.kill()
     w.until(lambda: ref in w.node.viewers.pending_releases)
-    # Nobody is left to play anything: each set-up is blocked, and no viewing will stand here for long.
+    # No streamer is left: each set-up is refused, so that no connection with a playing viewing will open.
     other = PlainPeer(w.address)
     refused = w.request_viewing(other)
     w.until(lambda: other.received("down", refused))
     w.until(lambda: other.received("down", ref), 0.5)
-    assert [m["c"] for m in other.received("down", ref)] == [41]
+    assert [message["c"] for message in other.received("down", ref)] == [41]
 
 
-def test_a_release_without_a_way_goes_with_a_viewing_that_is_handed_over(world):
+def test_a_pending_release_is_sent_on_the_connection_of_a_handover(world):
     w = world(streamers=2)
     client = PlainPeer(w.address)
     ref = w.request_viewing(client)
     w.until(lambda: client.received("up", ref))
     client.reset()
     w.until(lambda: not w.node.viewers.connections)
-    (name,) = [name for name, s in w.streamers.items() if s.set_ups]
-    (sound,) = set(w.streamers) - {name}
+    (name,) = [name for name, streamer in w.streamers.items() if streamer.set_ups]
+    (healthy,) = set(w.streamers) - {name}
     w.streamers[name].kill()
     w.until(lambda: ref in w.node.viewers.pending_releases)
     other = PlainPeer(w.address)
-    hand_over(w, other, sound)
+    hand_over(w, other, healthy)
     w.until(lambda: other.received("down", ref), 0.5)
 
 
-def test_a_viewing_handed_over_at_a_streamer_that_has_left_is_released(world):
+def test_a_viewing_that_is_handed_over_at_a_streamer_that_has_left_is_released(world):
     w = world(streamers=2)
     name = "s-00000000"
     w.streamers.pop(name).close()
     w.resolver.serial += 1
     w.until(lambda: name not in w.node.port.upstreams)
-    assert name in w.node.host.module.streamers, "the module remembers it yet"
+    assert name in w.node.host.module.streamers, "the deciding module still remembers it"
     client = PlainPeer(w.address)
     hand_over(w, client, name)
     w.until(lambda: client.received("down", "0123456789abcdef"), 1.0)
     assert not w.node.host.viewings and not w.node.viewers.sessions
 
 
-# Who is gone, and who only closed its door.
+# Streamers that are gone, and streamers that only refuse connections.
 
 
-def test_a_streamer_that_closes_its_door_plays_on(world):
+def test_viewings_continue_at_a_streamer_that_refuses_connections(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
     listener.sock.close()
     second = w.request_viewing(client)
     w.until(lambda: peer.received("new", second))
-    peer.send(t="down", ref=second, c=34)  # it drains: full for what is new, and no connection is kept open
+    peer.send(t="down", ref=second, c=34)  # it drains: it refuses set-ups and closes its connections
     peer.close()
     w.until(lambda: client.received("down", second))
-    gevent.sleep(0.6)  # it has been dialled again, and refused
+    gevent.sleep(0.6)  # it has been dialled again and has refused
     assert ref in w.node.host.viewings and not client.received("down", ref)
     w.streamers.clear()
     w.resolver.serial += 1
-    w.until(lambda: client.received("down", ref), 1.5)  # as soon as the list says that it has gone
+    w.until(lambda: client.received("down", ref), 1.5)  # as soon as it has left the list
 
 
-def test_a_viewing_handed_over_at_a_streamer_whose_door_is_closed_plays_on_while_it_may_live(world):
+def test_a_viewing_handed_over_at_a_streamer_that_refuses_connections_is_held_until_silence(world):
     w = world(streamers=2)
     name = "s-00000000"
     w.streamers[name].listener.close()
@@ -183,12 +183,12 @@
     assert w.node.host.viewings and not client.received("down")
     w.until(
         lambda: client.received("down"), 6.0
-    )  # nobody hears of its end there: not for longer than is allowed
+    )  # its end could not be reported: given up in the allowed time
 
 
-def test_what_played_before_its_streamers_newest_start_is_over(world):
+def test_viewings_from_before_a_restart_of_their_streamer_are_ended(world):
     w, listener, client, peer, ref = world_with_manual_streamer(world)
-    peer.reset()  # as it dies; back at once, before anybody noticed, it answers what is asked of it
+    peer.reset()  # it dies, and is back at once, before its silence is noticed
     again = listener.wait_for_connection()
     started = time.time()
     second = w.request_viewing(client)
@@ -198,5 +198,5 @@
     w.started["s-00000000"] = int(started * 1000)
     w.resolver.serial += 1
     w.until(lambda: client.received("down", ref), 1.5)
-    assert [m["c"] for m in client.received("down", ref)] == [41]
+    assert [message["c"] for message in client.received("down", ref)] == [41]
     assert second in w.node.host.viewings and not client.received("down", second)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""The platform's controller on loopback: after SIGTERM, on each sort of connection; when changes are told."""
+"""The platform controller on loopback: a graceful shutdown, and how soon changes of the list are known."""
 
 import time
 
@@ -15,100 +15,101 @@
     yield from closing(World, tmp_path)
 
 
-def stopped(w, seconds):
+def wait_until_stopped(w, seconds):
     w.until(w.node.stopped.is_set, seconds)
 
 
-def test_a_planned_restart_serves_what_still_comes_and_answers_all(world):
+def test_set_ups_during_a_graceful_shutdown_are_served_and_answered(world):
     w = world()
-    v = w.viewer()
+    viewer = w.viewer()
     held = []
-    for s in w.streamers.values():
-        s.on_set_up = lambda peer, m: held.append((peer, m))
-    first = w.request_viewing(v)
+    for streamer in w.streamers.values():
+        streamer.on_set_up = lambda peer, message: held.append((peer, message))
+    first = w.request_viewing(viewer)
     stopping = gevent.spawn(w.node.stop)
     gevent.sleep(0.1)
     new = w.viewer()
     second = w.request_viewing(new)
     w.until(lambda: len(held) >= 2)
     gevent.sleep(0.2)
-    for peer, m in held:
-        peer.send(t="up", ref=m["ref"], d="late but whole")
+    for peer, message in held:
+        peer.send(t="up", ref=message["ref"], d="late but whole")
     w.until(
         lambda: (
-            (v.received("up", first) or v.received("down", first))
+            (viewer.received("up", first) or viewer.received("down", first))
             and (new.received("up", second) or new.received("down", second))
         )
     )
-    assert [v.received("up", first), new.received("up", second)] != [[], []]
+    assert [viewer.received("up", first), new.received("up", second)] != [[], []]
     for ref in (first, second):
-        for s in w.streamers.values():
-            for peer in s.peers:
+        for streamer in w.streamers.values():
+            for peer in streamer.peers:
                 peer.send(t="down", ref=ref, c=16)
     stopping.join(timeout=4.0)
     assert w.node.stopped.is_set()
 
 
-def test_what_plays_plays_on_after_sigterm_and_its_end_is_told(world):
+def test_a_viewing_plays_on_after_sigterm_and_its_viewer_is_told_of_its_end(world):
     w = world()
-    v = w.viewer()
-    ref = w.request_viewing(v)
-    w.until(lambda: v.received("up", ref))
-    (streamer,) = [s for s in w.streamers.values() if s.set_ups]
+    viewer = w.viewer()
+    ref = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("up", ref))
+    (streamer,) = [streamer for streamer in w.streamers.values() if streamer.set_ups]
     gevent.spawn(w.node.stop)
     gevent.sleep(1.2)
     assert not w.node.stopped.is_set() and not streamer.received_count("down", ref)
     streamer.peers[0].send(t="down", ref=ref, c=16)
-    w.until(lambda: v.received("down", ref))
-    stopped(w, 0.5)
+    w.until(lambda: viewer.received("down", ref))
+    wait_until_stopped(w, 0.5)
 
 
-def test_a_set_up_that_comes_too_late_is_refused_at_once_on_the_connection_that_is_open(world):
+def test_a_set_up_that_comes_too_late_is_refused_at_once_on_its_open_connection(world):
     w = world()
-    v = w.viewer()
-    ref = w.request_viewing(v)
-    w.until(lambda: v.received("up", ref))
+    viewer = w.viewer()
+    ref = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("up", ref))
     gevent.spawn(w.node.stop)
     w.until(lambda: w.node.viewers.shutting_down, 1.5)
-    late = w.request_viewing(v)
-    w.until(lambda: v.received("down", late), 0.3)
-    assert v.received("down", late)[0]["c"] == 42
+    late = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("down", late), 0.3)
+    assert viewer.received("down", late)[0]["c"] == 42
     with pytest.raises(OSError):
         w.viewer()
 
 
-def test_a_process_that_comes_late_takes_what_reached_it_before_it_stops_listening(world):
+def test_a_late_process_answers_what_arrived_before_it_stops_listening(world):
     w = world()
-    v = w.viewer()
+    viewer = w.viewer()
     idle = w.viewer()
-    v.send(t="hb", ref="01", c=0)
-    w.until(lambda: v.received("hb_ok"))
+    viewer.send(t="hb", ref="01", c=0)
+    w.until(lambda: viewer.received("hb_ok"))
     gevent.spawn(w.node.stop)
     gevent.sleep(0.55)
-    new = w.viewer()  # its machine has accepted it; the process does not come to it for a while
-    refs = [(peer, w.request_viewing(peer)) for peer in (v, idle, new)]
+    new = w.viewer()  # the system has accepted it; the process has not yet
+    refs = [(peer, w.request_viewing(peer)) for peer in (viewer, idle, new)]
     half = w.viewer()
     half.send_raw(b'{"t":"new","ref":"00112233')
-    time.sleep(0.35)  # beyond the time at which it stops listening
+    time.sleep(0.35)  # past the time at which the process stops listening
     for peer, ref in refs:
         w.until(lambda: peer.received("up", ref) or peer.received("down", ref))  # noqa: B023
     half.close()
-    # Late as it was it may refuse, but what reached it in time has its one answer.
+    # A late process may refuse, but what arrived in time gets exactly one answer.
     assert all(len(peer.received("up", ref)) + len(peer.received("down", ref)) == 1 for peer, ref in refs)
 
 
-def drained(w, name="s-00000000"):
+def is_leaving(w, name="s-00000000"):
+    """Return a condition: the controller knows that the streamer drains."""
     return lambda: w.node.host.statuses.get(name) is StreamerStatus.LEAVING
 
 
-def test_a_change_is_known_before_it_counts_as_told_though_answers_get_lost(world):
+def test_a_change_is_known_in_time_though_answers_are_lost(world):
     w = world(streamers=2)
     w.until(lambda: w.resolver.query_count > 1)
     lost = []
     w.resolver.filter_answer = lambda data: lost.append(1) if len(lost) < 3 else data
     w.draining.add("s-00000000")
     w.resolver.serial += 1
-    w.until(drained(w), 1.5 + 0.25)  # told 1.5 s after it happened at the latest, and 0.25 s for the drain
+    w.until(is_leaving(w), 1.5 + 0.25)  # published at most 1.5 s after it happened, and 0.25 s for the drain
     assert len(lost) == 3
 
 
@@ -118,9 +119,9 @@
     w.draining.add("s-00000000")
     w.resolver.serial += 1
     gevent.sleep(3.0)
-    assert not drained(w)()
+    assert not is_leaving(w)()
     w.resolver.filter_answer = lambda data: data
-    w.until(drained(w), 4.5 - 3.0)
+    w.until(is_leaving(w), 4.5 - 3.0)
 
 
 def test_a_change_is_known_in_time_after_sighup_moved_the_resolver(world):
@@ -132,10 +133,10 @@
     second.serial = 2
     w.configure(second.address)
     w.node.reload()
-    w.until(drained(w), 1.0)  # of 4 s
+    w.until(is_leaving(w), 1.0)  # 4 s are allowed
     second.close()
 
 
-def test_a_controller_that_has_just_started_knows_what_its_configuration_holds_at_once(world):
+def test_a_controller_knows_the_list_of_its_configuration_from_the_start(world):
     w = world(streamers=2)
     assert set(w.node.host.statuses) == set(w.streamers) and w.node.resolver.serial == 1
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -1,7 +1,7 @@
-"""A controller that was stopped, or late, for longer than it gives its streamers: what they said meanwhile
-lies unread, and is heard before any of them is judged.
+"""A controller that was suspended, or late, for longer than a streamer may be silent.
 
-The stop is a leap of the controller's clock between two calls of the test, in which nothing else runs.
+What its streamers sent meanwhile is unread; it must be read before any of them counts as lost. The suspension
+is a jump of the controller's clock between two calls of the test, in which nothing else runs.
 """
 
 import socket
@@ -18,17 +18,17 @@
 from herongap.interface import StreamerStatus
 from herongap.node.resolver import ANSWER_TIMEOUT_SECONDS
 
-STOP = 30.0  # seconds: over any time after which a silent streamer's viewings are lost
+SUSPENSION_SECONDS = 30.0  # longer than a streamer may be silent before its viewings are lost
 
 
 class Clock:
-    """The machine's, and what the process was stopped for so far."""
+    """A clock that is ahead of `base` by the time for which the process was suspended."""
 
-    def __init__(self, right):
-        self.right, self.stopped = right, 0.0
+    def __init__(self, base):
+        self.base, self.suspended = base, 0.0
 
     def __call__(self) -> float:
-        return self.right() + self.stopped
+        return self.base() + self.suspended
 
 
 @pytest.fixture
@@ -41,50 +41,54 @@
     yield from closing(Front, tmp_path)
 
 
-@pytest.mark.parametrize("said", [True, False])
-def test_a_stopped_controller_of_the_platform_ends_none_of_what_plays(platform, said):
+@pytest.mark.parametrize("answers", [True, False])
+def test_a_suspended_platform_controller_ends_no_viewing(platform, answers):
     clock = Clock(time.time)
     w = platform(streamers=2, clock=clock)
-    v = w.viewer()
+    viewer = w.viewer()
     refs = []
     for _ in range(6):
-        refs.append(w.request_viewing(v))
-        w.until(lambda: v.received("up", refs[-1]))
-    assert all(w.node.host.playing_at(name) for name in w.streamers), "something plays at each"
-    clock.stopped += STOP
-    if said:  # its streamers have: that lies unread
-        for s in w.streamers.values():
-            send_immediately(s.peers[0], t="hb_ok", ref="00", c=1)
-    gevent.sleep(1.0)  # several looks at what is silent
-    assert not v.received("down") and not v.received("shift") and set(refs) == set(w.node.host.viewings)
-    known = w.node.host.module.state
-    assert all(st.set_aside_until < clock() for st in known.streamers.values()), (
-        "nobody is set aside for our own stop"
+        refs.append(w.request_viewing(viewer))
+        w.until(lambda: viewer.received("up", refs[-1]))
+    assert all(w.node.host.playing_at(name) for name in w.streamers), "a viewing plays at each streamer"
+    clock.suspended += SUSPENSION_SECONDS
+    if answers:  # the streamers have answered; that is unread
+        for streamer in w.streamers.values():
+            send_immediately(streamer.peers[0], t="hb_ok", ref="00", c=1)
+    gevent.sleep(1.0)  # several liveness checks
+    assert (
+        not viewer.received("down")
+        and not viewer.received("shift")
+        and set(refs) == set(w.node.host.viewings)
     )
-    again = w.request_viewing(v)
-    w.until(lambda: v.received("up", again), 1.0)
+    state = w.node.host.module.state
+    assert all(streamer.set_aside_until < clock() for streamer in state.streamers.values()), (
+        "no streamer is set aside for the controller's own suspension"
+    )
+    again = w.request_viewing(viewer)
+    w.until(lambda: viewer.received("up", again), 1.0)
 
 
-def test_a_stopped_front_ends_none_of_what_plays_and_goes_on_placing(front):
+def test_a_suspended_front_ends_no_viewing_and_continues_to_place_new_ones(front):
     clock = Clock(time.monotonic)
     w = front(streamers=2, clock=clock)
     held = [w.viewer(f"v{i}") for i in range(6)]
-    assert all(v.post(2).status == 201 for v in held)
-    port, known = w.daemon.port, w.daemon.host.module.state
+    assert all(viewer.post(2).status == 201 for viewer in held)
+    port, state = w.daemon.port, w.daemon.host.module.state
     w.until(lambda: len(port.followers) == 2 and all(f.liveness.last_heard for f in port.followers.values()))
-    w.order("silent")  # their event streams stand, and say nothing for now
-    gevent.sleep(1.2)  # until each look at one is a look at its silence
-    clock.stopped += STOP
+    w.order("silent")  # their event streams stay open and send nothing for now
+    gevent.sleep(1.2)  # until each liveness check finds a stream silent
+    clock.suspended += SUSPENSION_SECONDS
     gevent.sleep(1.2)
     assert len(w.daemon.host.viewings) == 6 and w.playing() == 6
-    assert all(st.set_aside_until < clock() for st in known.streamers.values()), (
-        "nobody is set aside for our own stop"
+    assert all(streamer.set_aside_until < clock() for streamer in state.streamers.values()), (
+        "no streamer is set aside for the controller's own suspension"
     )
     w.order("heal")
     assert w.viewer("b").post(2).status == 201
 
 
-def test_an_answer_of_the_resolver_that_a_late_process_finds_unread_is_taken(platform):
+def test_an_unread_answer_of_the_resolver_is_used_by_a_late_process(platform):
     w = platform(streamers=2, **LONG_DEADLINES)
     held = hold_all_set_ups(w)
     resolver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -93,21 +97,21 @@
     client = PlainPeer(w.address)
     ref = w.request_viewing(client, left="30000")
     w.until(lambda: held)
-    (other,) = [name for name, s in w.streamers.items() if not s.set_ups]
+    (other,) = [name for name, streamer in w.streamers.items() if not streamer.set_ups]
     w.node.resolver.address = resolver.getsockname()
-    asked = []
+    queries = []
 
-    def question():
+    def query_arrived():
         with suppress(BlockingIOError):
-            asked.append(resolver.recvfrom(4096))
-        return bool(asked)
+            queries.append(resolver.recvfrom(4096))
+        return bool(queries)
 
-    w.until(question)
+    w.until(query_arrived)
     w.draining.add(other)
     w.resolver.serial += 1
-    resolver.sendto(w.resolver.answer(asked[0][0]), asked[0][1])
-    send_immediately(held[0][0], t="down", ref=ref, c=34)  # so that it goes on to the other at once
-    time.sleep(ANSWER_TIMEOUT_SECONDS + 0.1)  # the process is late, and no other question is ever answered
+    resolver.sendto(w.resolver.answer(queries[0][0]), queries[0][1])
+    send_immediately(held[0][0], t="down", ref=ref, c=34)  # so that the other streamer is tried at once
+    time.sleep(ANSWER_TIMEOUT_SECONDS + 0.1)  # the process is late, and no further query is answered
     w.until(lambda: w.node.host.statuses[other] is StreamerStatus.LEAVING, 0.5)
     gevent.sleep(0.3)
     assert not w.streamers[other].set_ups
