--- a/herongap/benchlink/adapter.py
+++ b/herongap/benchlink/adapter.py
@@ -30,7 +30,7 @@
 
 
 def end_reason(fields: dict) -> EndReason:
-    """Return how something ended; an unknown word is reported as UNKNOWN."""
+    """Return how a tune-in, viewing or probe ended; unknown reasons are reported as UNKNOWN."""
     return codec.END_REASONS.get(fields["How"], EndReason.UNKNOWN)
 
 
--- a/herongap/limiter.py
+++ b/herongap/limiter.py
@@ -13,12 +13,10 @@
 MAX_SPARE_CONNECTIONS = 2  # idle connections to one streamer that are kept
 # Spare connections beyond those are closed when idle for this share of their streamer's idle time-out.
 STALE_IDLE_SHARE = 1 / 3
-SUSPECT_TIMEOUT_SECONDS = (
-    1.0  # a suspected connection to a streamer is closed unless it shows life in this time
-)
-REDIAL_DELAY_SECONDS = (
-    1.0  # pause before a streamer that refused a connection is dialled for pending messages
-)
+# A suspected connection to a streamer is closed unless something arrives on it within this time.
+SUSPECT_TIMEOUT_SECONDS = 1.0
+# A streamer that refused a connection is not dialled again for pending messages within this time.
+REDIAL_DELAY_SECONDS = 1.0
 
 
 def connections_to_close(now: float, connections: Iterable, room: bool, idle_limit: float) -> list:
@@ -139,7 +137,7 @@
                     and is_quiet(client)
                 )
             else:
-                # Only these checks show since when a line is partial; a whole message starts the time anew.
+                # Only these checks see since when a line is partial; a complete message starts the time anew.
                 since = self.partial_since.setdefault(client, now)
                 if record.last_message is not None and record.last_message > since:
                     since = self.partial_since[client] = now
--- a/herongap/node/connection.py
+++ b/herongap/node/connection.py
@@ -210,8 +210,8 @@
         """Release the socket and call `on_closed`, once, however the connection ended."""
         if self._ended:
             return
-        # If we half-closed it and the peer closed in its turn, it has read everything; after a reset it may
-        # have read nothing.
+        # A peer that closes after this side has half-closed has read everything; after a reset it may have
+        # read nothing.
         self.broken |= not self.closed and not (self.half_closed and not self.cause)
         self.closed = self._ended = True
         if TRACE:
--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -55,7 +55,7 @@
         self.upstreams: dict[str, Upstream] = {}
         self.attempts: dict[tuple[str, str], Attempt] = {}
         self.cancelled: dict[tuple[str, str], float] = {}
-        # Ends of viewings that no viewer has handed over yet: a release may come before the set-up with `at`.
+        # Ends of viewings that were not handed over yet: a release may come before the set-up with `at`.
         self.early_releases: dict[tuple[str, str], tuple[EndReason, float]] = {}
         self.alarm = Alarm(clock)
         self._heartbeat_ids = count(1)
@@ -70,7 +70,7 @@
             if (upstream := self.upstreams.get(name)) is None:
                 self.upstreams[name] = Upstream(name, address, StreamerLiveness(now, *self.liveness_times))
             elif upstream.address != address:
-                # The old connections are closed; the ends of viewings that it still has come on the next.
+                # The old connections are closed; the streamer reports ends of its viewings on the next one.
                 upstream.address, upstream.redial_at = address, 0.0
                 for connection in upstream.connections:
                     connection.half_close()
@@ -78,9 +78,9 @@
             upstream.delisted = name not in addresses
 
     def remove_replaced(self) -> None:
-        """End what played at streamers whose address another one has now.
+        """End the viewings at streamers whose address another streamer has now.
 
-        To be called when the host has the list too: it may decide at once where these viewings go.
+        To be called once the host has the new list too, as the host may place these viewings anew at once.
         """
         taken = {upstream.address for upstream in self.upstreams.values() if not upstream.delisted}
         for upstream in list(self.upstreams.values()):
@@ -144,9 +144,7 @@
     def send_to_peer(self, peer: int, words: bytes) -> None:
         log.warning("no connection to other controllers", peer=peer)
 
-    def request_budget(
-        self, whole: str
-    ) -> None: ...  # the platform has no store to divide fleet budgets through
+    def request_budget(self, budget: str) -> None: ...  # the platform has no store to divide budgets through
 
     def wake(self, at: float) -> None:
         self.alarm.set(at)
@@ -246,7 +244,7 @@
     def _release(
         self, upstream: Upstream, viewing: str, connection: StreamerConnection | None = None
     ) -> None:
-        """Have the streamer stop a viewing; `connection` is one on which it may still be being set up."""
+        """Have the streamer stop a viewing, on `connection` if its set-up was sent there."""
         self._deliver(upstream, messages.encode_down(viewing, messages.CAUSE_ENDED), connection, viewing)
 
     def _ensure_connection(self, upstream: Upstream) -> None:
@@ -305,7 +303,7 @@
                 # It was not sent in full, so nothing was started.
                 self.host.ended(self.clock(), attempt.request.viewing, attempt.number, EndReason.UNREACHED)
                 continue
-            # The streamer may have started it, and may play it to nobody.
+            # The streamer may have started it, and would play it for no viewer.
             self._release(upstream, attempt.request.viewing)
             self.cancelled[key] = self.clock() + self.late_answer_seconds
             self.host.ended(self.clock(), attempt.request.viewing, attempt.number, EndReason.BROKEN)
@@ -422,7 +420,7 @@
             if not self.host.started(self.clock(), message.ref, attempt.number, upstream.name, load):
                 log.info("late answer", streamer=upstream.name, viewing=message.ref)
         elif self.cancelled.pop(key, None):
-            # It plays there to nobody.
+            # A late answer to a cancelled tune-in: the streamer plays it for no viewer.
             self._release(upstream, message.ref, connection)
 
     def _on_down(self, upstream: Upstream, connection: StreamerConnection, message: Message) -> None:
--- a/herongap/node/viewers.py
+++ b/herongap/node/viewers.py
@@ -43,7 +43,7 @@
         self.sessions: dict[str, Session] = {}
         # Releases that no open connection could carry, with their expiry, by viewing.
         self.pending_releases: dict[str, tuple[bytes, float]] = {}
-        # Releases of viewings that are not held, by their expiry: the set-up with `at` may come later.
+        # Viewings that were released but are not held, with the expiry: a set-up with `at` may come later.
         self.early_releases: dict[str, float] = {}
         # Half-closed connections, and until when their peers may close them.
         self.closing: dict[Connection, float] = {}
--- a/herongap/platform/lines.py
+++ b/herongap/platform/lines.py
@@ -28,7 +28,7 @@
         """Yield the non-empty lines that these bytes complete.
 
         Raises LineTooLongError at a line that is too long, after which the buffer must not be used. The lines
-        completed before that one are yielded first: they arrived whole and are handled like any other.
+        completed before that one are yielded first: they arrived in full and are handled like any other.
         """
         *lines, partial = (self._partial + data).split(b"\n") if b"\n" in data else (self._partial + data,)
         self._partial = partial
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -31,7 +31,7 @@
 from herongap.node.connection import Connection
 from herongap.platform.lines import MAX_LINE_BYTES
 
-NOISE = {
+MALFORMED_INPUT = {
     "no message": b"\x00\xff noise\n",
     "no type": b'{"t":"bogus"}\n',
     "never ends": b"x" * (MAX_LINE_BYTES + 1),
@@ -66,15 +66,15 @@
 # Clients that send malformed input.
 
 
-@pytest.mark.parametrize("noise", NOISE)
-def test_accepted_set_ups_are_answered_before_malformed_input_ends_the_connection(world, noise):
+@pytest.mark.parametrize("kind", MALFORMED_INPUT)
+def test_accepted_set_ups_are_answered_before_malformed_input_ends_the_connection(world, kind):
     w = world(**LONG_DEADLINES)
     held = hold_all_set_ups(w)
     client, other = PlainPeer(w.address), PlainPeer(w.address)
     first = w.request_viewing(client)
     w.until(lambda: len(held) == 1)
     second = set_up("00000000000000aa")
-    client.send_raw(second + NOISE[noise])  # in one piece, after a complete set-up
+    client.send_raw(second + MALFORMED_INPUT[kind])  # in one piece, after a complete set-up
     w.until(lambda: len(held) == 2)
     gevent.sleep(0.1)
     assert not client.is_closed()
@@ -257,10 +257,8 @@
         ref = w.request_viewing(client)
         w.until(lambda: client.received("up", ref))  # noqa: B023
         peer = next(p for p in streamer.peers if p.received("new", ref))
-        if first:
-            send_immediately(
-                peer, t="down", ref=ref, c=16
-            )  # unread when the deciding module moves the viewing
+        if first:  # the end is unread when the deciding module moves the viewing
+            send_immediately(peer, t="down", ref=ref, c=16)
         w.node.host.module.state.decisions.append(("move", ref))
         w.node.host.woke(w.node.clock())
         if not first:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -133,9 +133,8 @@
     listener.clear_backlog()
     if first:
         leave(client, ref, how)
-    peer = (
-        listener.accept_blocking()
-    )  # about 1 s, in which the controller does nothing: it finds both at once
+    # This takes about 1 s, in which the controller does nothing: it finds both at once.
+    peer = listener.accept_blocking()
     if not first:
         leave(client, ref, how)
     w.until(lambda: ref not in w.node.host.viewings)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -89,7 +89,7 @@
     listener.fill_backlog()
     peer.send(t="down", ref=ref, c=16)
     w.until(lambda: client.received("down", ref))
-    peer.reset()  # the second viewing may have started, and play to nobody
+    peer.reset()  # the second viewing may have started, and would play for no viewer
     w.until(lambda: w.node.port.upstreams["s-00000000"].pending)
     client.send(t="down", ref=second, c=16)
     w.until(lambda: not w.node.viewers.sessions)
@@ -181,9 +181,8 @@
     w.until(lambda: w.node.host.viewings)
     gevent.sleep(0.6)
     assert w.node.host.viewings and not client.received("down")
-    w.until(
-        lambda: client.received("down"), 6.0
-    )  # its end could not be reported: given up in the allowed time
+    # Its end could not be reported from there, so it is held no longer than is allowed.
+    w.until(lambda: client.received("down"), 6.0)
 
 
 def test_viewings_from_before_a_restart_of_their_streamer_are_ended(world):
