--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -13,7 +13,7 @@
 import gevent
 import structlog
 
-from herongap.daemon.alarm import Alarm
+from herongap.daemon.timer import Timer
 from herongap.host import Answer, Host, ViewingState
 from herongap.host.liveness import (
     PAID_TEST_TIMES,
@@ -57,7 +57,7 @@
         self.cancelled: dict[tuple[str, str], float] = {}
         # Ends of viewings that were not handed over yet: a release may come before the set-up with `at`.
         self.early_releases: dict[tuple[str, str], tuple[EndReason, float]] = {}
-        self.alarm = Alarm(clock)
+        self.timer = Timer(clock)
         self._heartbeat_ids = count(1)
         self.probes: dict[str, tuple[str, float]] = {}
 
@@ -147,11 +147,11 @@
     def request_budget(self, budget: str) -> None: ...  # the platform has no store to divide budgets through
 
     def wake(self, at: float) -> None:
-        self.alarm.set(at)
+        self.timer.set(at)
 
     def run(self) -> None:
         """Wake the host whenever it asked to be; never returns."""
-        self.alarm.run(lambda now: self.host.woke(now))
+        self.timer.run(lambda now: self.host.woke(now))
 
     # Connections and tune-ins.
 
--- a/tests/test_node_streamers.py
+++ b/tests/test_node_streamers.py
@@ -137,6 +137,6 @@
         if len(woken) == 1:
             raise RuntimeError("planted")
 
-    w.until(lambda: w.node.port.alarm.due < float("inf"))
+    w.until(lambda: w.node.port.timer.due < float("inf"))
     monkeypatch.setattr(w.node.host, "woke", woke)
     w.until(lambda: len(woken) == 2)
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -75,7 +75,11 @@
     held = [w.viewer(f"v{i}") for i in range(6)]
     assert all(viewer.post(2).status == 201 for viewer in held)
     port, state = w.daemon.port, w.daemon.host.module.state
-    w.until(lambda: len(port.followers) == 2 and all(f.liveness.last_heard for f in port.followers.values()))
+    w.until(
+        lambda: (
+            len(port.subscriptions) == 2 and all(f.liveness.last_heard for f in port.subscriptions.values())
+        )
+    )
     w.order("silent")  # their event streams stay open and send nothing for now
     gevent.sleep(1.2)  # until each liveness check finds a stream silent
     clock.suspended += SUSPENSION_SECONDS
