--- a/herongap/interface.py
+++ b/herongap/interface.py
@@ -1,23 +1,23 @@
 """The types that pass between a host and the deciding module (`herongap.rules.Controller`).
 
-A host tells the module what it sees by plain method calls, then calls `decide(now)` until it
-returns None. Times are seconds with fractions on the host's clock; rates are kB a second;
-ids (of viewings, viewers, titles, streamers, shelves, cells and racks) are handed back untouched;
-they need an equality, a hash and, among themselves, an order.
+The host reports each event with a plain method call, then calls `decide(now)` until it returns None. Times
+are seconds with fractions on the host's clock; rates are kB a second. The module hands ids (of viewings,
+viewers, titles, streamers, holders, cells and racks) back untouched; they need equality, a hash and, among
+themselves, an order.
 
 Each decision is a tuple, a verb and its operands:
 
     ("tune_in", viewing, streamer, time_out)   ask the streamer to start the viewing
-    ("rung", viewing, rung)                    set the rung, before the tune-in or while it plays
-    ("block", viewing, come_back)              final answer: turned away; come_back in seconds, 0: no advice
-    ("abort", viewing)                         final answer: it failed
-    ("call_off", viewing, number)              stop waiting for that tune-in
+    ("rung", viewing, rung)                    set the rung, before the tune-in or while the viewing plays
+    ("block", viewing, come_back)              final answer: rejected; retry after come_back s, 0: no advice
+    ("abort", viewing)                         final answer: the viewing failed
+    ("call_off", viewing, number)              cancel that tune-in
     ("move", viewing)                          take a playing viewing off its streamer
-    ("probe", streamer)                        ask a streamer for its load
-    ("follow",)                                subscribe to the list of streamers
-    ("tell", peer, words)                      a short message to one controller, -1 for all
-    ("charge", viewing, wholes)                the wholes that its tune-ins from now on count for, by name
-    ("short", whole)                           more of a whole is wanted here
+    ("probe", streamer)                        request the load of a streamer
+    ("follow",)                                subscribe to the streamer list
+    ("tell", peer, words)                      send a short message to one controller, -1 for all
+    ("charge", viewing, wholes)                names of the fleet budgets that its next tune-ins count towards
+    ("short", whole)                           request a larger part of a fleet budget for this controller
     ("wake", at)                               call woke() at that time
 """
 
@@ -28,7 +28,7 @@
 
 
 class RepeatSafety(Enum):
-    """What a second set-up of one viewing would do."""
+    """What it does if one viewing is set up twice."""
 
     HARMLESS = 1
     IN_GROUP = 2
@@ -36,7 +36,7 @@
 
 
 class RepeatScope(Enum):
-    """The streamers among which a repeat of an IN_GROUP package is recognised."""
+    """The streamers among which a repeated set-up of an IN_GROUP package is recognised."""
 
     ALL = 1
     ZONE = 2
@@ -58,7 +58,7 @@
 
 
 class StreamerStatus(Enum):
-    """What the list says of a streamer."""
+    """The state of a streamer on the streamer list."""
 
     ACTIVE = 1
     LEAVING = 2
@@ -66,18 +66,19 @@
 
 
 class BudgetScope(Enum):
-    """What a whole that is divided among the controllers bounds: what is held at one time, or (the others)
-    what is begun in a window.
+    """What a fleet budget limits.
+
+    VIEWINGS limits what is held at one time; the others limit what is begun in a time window.
     """
 
-    VIEWINGS = 1  # from a tune-in's leaving until what it started is over
+    VIEWINGS = 1  # from sending the tune-in until the viewing that it started has ended
     TUNE_INS = 2
-    FURTHER = 3  # tune-ins of a viewing that had one before
+    FURTHER = 3  # tune-ins after the first one of a viewing
     COLD = 4  # tune-ins at streamers that may have just started
 
 
 class FleetBudget(NamedTuple):
-    """One whole that is divided among the controllers, and what counts for it; None: any."""
+    """A limit that is divided among the controllers, and what counts towards it; None matches any."""
 
     name: str
     scope: BudgetScope
@@ -87,7 +88,11 @@
 
 
 class Package(NamedTuple):
-    """One package of viewings and its terms."""
+    """A class of service and its terms.
+
+    `floor` and `top` are its lowest and highest rung. `scale` multiplies the rates of the ladder, and `seats`
+    limits the viewings of one title, 0 for no limit.
+    """
 
     name: str
     join_target: float
@@ -104,7 +109,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentConfig:
-    """What a deployment states at start, in our units."""
+    """Everything that a deployment sets at start, in the units of this module.
+
+    The field names are written to the first line of a record and stay as they are.
+
+    `me` is the rank of this controller among the `controllers` of the fleet. `ladder` holds the rate of each
+    rung and `worths` its value. `link_per_weight` is the capacity of a streamer's link for each unit of its
+    weight, `rack_link` that of a rack's uplink, and `places` the viewings that a streamer of each kind holds.
+    `full_from` is the load from which a streamer refuses viewings, 0 if unknown, and `told_late` the age of a
+    load report on arrival. `warm_up` is the time until a started streamer has its full capacity, and
+    `cold_start` the part of it that it starts with. `extra_free`, `extra_share` and `extra_window` set the
+    retry budget: so many retries plus a share of the requests, in a window. `wholes` are the fleet budgets.
+    """
 
     me: int
     zone: str
@@ -134,10 +150,11 @@
 
 
 class StreamerEntry(NamedTuple):
-    """One line of the list of streamers; started is None when it has run for long.
+    """One entry of the streamer list; `started` is None if the streamer has run for a long time.
 
-    `holder_id` is what a catalogue names as a holder: the streamer itself, or what it shares its titles with.
-    `cell` is the group in which an IN_GROUP repeat is recognised, `rack` the uplink that it shares.
+    `holder_id` is what a catalogue names as the holder of a title: the streamer itself, or the storage that
+    it shares with others. `cell` is the group in which a repeat of an IN_GROUP package is recognised, and
+    `rack` the rack whose uplink the streamer shares.
     """
 
     streamer: int | str
@@ -152,9 +169,11 @@
 
 
 class ViewingRequest(NamedTuple):
-    """A request for a viewing; left is what remains of the viewer's patience, length a hint or None.
+    """A request for a viewing.
 
-    `holders` names the shelves that hold the title, in any order.
+    `time_left` is how many more seconds the viewer waits, and `length` a hint of the viewing's length or
+    None. `holders` has the holder ids of the title, in any order. `top` is the highest rung of use to the
+    viewer.
     """
 
     viewing: int | str
@@ -171,7 +190,10 @@
 
 
 class LoadReport(NamedTuple):
-    """A streamer's own report of what is asked over what is given; None where it does not say."""
+    """A streamer's report of its own load: demand over capacity, None where it reports none.
+
+    `link_capped` is a figure for the link that never exceeds 1.
+    """
 
     link: float | None = None
     link_capped: float | None = None
--- a/herongap/rules/admission.py
+++ b/herongap/rules/admission.py
@@ -1,4 +1,4 @@
-"""Whether a viewing may be set up now, never where: repeats and their budget, wholes of the fleet, floods."""
+"""Admission: whether a viewing may be set up now, by retry rules, budgets and flood control. Never where."""
 
 from collections import deque
 from math import exp
@@ -7,92 +7,123 @@
 
 from .state import ControllerState, Streamer, Viewing
 
-FLOOD, LEAST = 4.0, 5.0  # a member floods at so many times its usual rate and so many viewings a second more
+# A member floods when it requests so many times its usual rate, and so many viewings a second on top.
+FLOOD_FACTOR, FLOOD_MARGIN = 4.0, 5.0
 
 
 class Admission:
-    def __init__(self, known: ControllerState, now: float, c: DeploymentConfig):
-        self.state = known
-        self.extra = c.extra_free is not None and (c.extra_free, c.extra_share, c.extra_window)
-        self.taken, self.extras = deque(), deque()
-        self.begun, self.shares, self.rates = now, c.over_share < 0.5, {}
-        # Wholes of the fleet: what more may be begun here. Nothing before that is known.
-        self.wholes, self.left_of = c.wholes, dict.fromkeys((w.name for w in c.wholes), 0)
+    """The retry budget, the fleet budgets, and the request rate of each member."""
+
+    def __init__(self, state: ControllerState, now: float, config: DeploymentConfig):
+        self.state = state
+        self.retry_budget = config.extra_free is not None and (
+            config.extra_free,
+            config.extra_share,
+            config.extra_window,
+        )
+        self.requests, self.retries = deque(), deque()
+        self.started_at, self.controls_floods, self.rates = now, config.over_share < 0.5, {}
+        # What may still be begun here of each fleet budget: nothing before the first report.
+        self.budgets, self.remaining = config.wholes, dict.fromkeys((b.name for b in config.wholes), 0)
 
     def asked(self, now: float, member: str | None) -> bool:
-        self.taken.extend([now] * bool(self.extra))
-        return self.shares and member is not None and self.floods(now, member)
+        """Counts a request; whether it is part of a flood."""
+        self.requests.extend([now] * bool(self.retry_budget))
+        return self.controls_floods and member is not None and self.floods(now, member)
 
     def floods(self, now: float, member: str) -> bool:
-        # A member's share is told too roughly to count by, and only a part of it is seen here: so against its
-        # own usual rate. What it asks beyond is worth little and must not take the others' places.
+        """Counts a request of a member; whether the member floods."""
+        # The share of a member is known too roughly to be a limit, and only a part of its requests is seen
+        # here: so its own usual rate is the measure. What it requests beyond that is worth little and must
+        # not take the places of others.
         rate, usual, at = self.rates.get(member, (0.0, 0.0, now))
         rate = rate * exp((at - now) / 2) + 0.5
-        flood = now - self.begun > 5 and rate > FLOOD * usual + LEAST
-        # Over 20 s, or the time lived: begun at nothing, a high steady rate would pass for a flood for good.
-        span = min(20.0, now - self.begun + 1)
+        flood = now - self.started_at > 5 and rate > FLOOD_FACTOR * usual + FLOOD_MARGIN
+        # The mean of 20 s, or of the time since the start: if it began at 0, a steady high rate would be
+        # taken for a flood for good.
+        span = min(20.0, now - self.started_at + 1)
         self.rates[member] = rate, usual if flood else rate + (usual - rate) * exp((at - now) / span), now
         return flood
 
     def may_repeat(self, now: float) -> bool:
-        """Whether the budget of further tune-ins has one left."""
-        if not self.extra:
+        """Whether the retry budget allows one more tune-in of a viewing that had one before."""
+        if not self.retry_budget:
             return True
-        free, share, window = self.extra
-        for past, since in ((self.extras, now - window - 0.1), (self.taken, now - window + 0.1)):
-            while past and past[0] < since:
-                past.popleft()
-        return len(self.extras) + 1 <= free + share * len(self.taken)
-
-    def may_repeat_at(self, now: float, vw: Viewing, st: Streamer) -> bool:
-        """Whether the package's terms let this viewing be set up at this streamer after what may have run."""
-        p = vw.package
-        if not vw.ran or p.repeat is RepeatSafety.HARMLESS:
+        free, share, window = self.retry_budget
+        for times, since in ((self.retries, now - window - 0.1), (self.requests, now - window + 0.1)):
+            while times and times[0] < since:
+                times.popleft()
+        return len(self.retries) + 1 <= free + share * len(self.requests)
+
+    def may_repeat_at(self, now: float, viewing: Viewing, streamer: Streamer) -> bool:
+        """Whether the package's terms allow this viewing at this streamer, given where it may have run."""
+        package = viewing.package
+        if not viewing.may_have_run or package.repeat is RepeatSafety.HARMLESS:
             return True
-        return p.repeat is RepeatSafety.IN_GROUP and all(
-            now - sent < p.window
+        return package.repeat is RepeatSafety.IN_GROUP and all(
+            now - sent < package.repeat_window
             and (
-                p.group is RepeatScope.ALL
-                or (zone == st.entry.zone and (p.group is RepeatScope.ZONE or cell == st.entry.cell))
+                package.group is RepeatScope.ALL
+                or (
+                    zone == streamer.entry.zone
+                    and (package.group is RepeatScope.ZONE or cell == streamer.entry.cell)
+                )
             )
-            for zone, cell, sent in vw.ran
+            for zone, cell, sent in viewing.may_have_run
         )
 
-    def counting(self, vw: Viewing, cold: bool) -> list[str]:
-        """The wholes for which a viewing's next tune-in counts."""
-        ask, more = vw.ask, [BudgetScope.FURTHER] * bool(vw.tries) + [BudgetScope.COLD] * cold
-        sorts = {BudgetScope.VIEWINGS, BudgetScope.TUNE_INS, *more}
+    def counting(self, viewing: Viewing, cold: bool) -> list[str]:
+        """The names of the fleet budgets that the next tune-in of a viewing counts towards."""
+        request, more = (
+            viewing.request,
+            [BudgetScope.FURTHER] * bool(viewing.tries) + [BudgetScope.COLD] * cold,
+        )
+        scopes = {BudgetScope.VIEWINGS, BudgetScope.TUNE_INS, *more}
         return [
-            w.name
-            for w in self.wholes
-            if w.scope in sorts
-            and w.package in (None, ask.package)
-            and w.member in (None, ask.member)
-            and w.title in (None, ask.title)
+            budget.name
+            for budget in self.budgets
+            if budget.scope in scopes
+            and budget.package in (None, request.package)
+            and budget.member in (None, request.member)
+            and budget.title in (None, request.title)
         ]
 
-    def within(self, vw: Viewing, cold: bool) -> bool:
-        """Whether every whole that it counts for has room here; of one that has none more is wanted."""
-        short = {name for name in self.counting(vw, cold) if self.left_of[name] < 1} if self.wholes else set()
-        # Asked for while the viewing waits, not when it is blocked: others may have some to give by then.
-        self.state.decisions += [("short", name) for name in sorted(short - vw.short)]
-        vw.short |= short
+    def within(self, viewing: Viewing, cold: bool) -> bool:
+        """Whether all fleet budgets that it counts towards have room here; requests more of those without."""
+        short = (
+            {name for name in self.counting(viewing, cold) if self.remaining[name] < 1}
+            if self.budgets
+            else set()
+        )
+        # Requested while the viewing waits, not when it is blocked: other controllers may have some to give
+        # by then.
+        self.state.decisions += [("short", name) for name in sorted(short - viewing.short_budgets)]
+        viewing.short_budgets |= short
         return not short
 
-    def charge(self, vw: Viewing, names: list[str]) -> None:
-        if self.wholes:
-            vw.charged = tuple(names)
-            self.left_of.update((name, self.left_of[name] - 1) for name in names)
-            self.state.decisions.append(("charge", vw.id, vw.charged))
-
-    def handed(self, vw: Viewing) -> None:
-        begun = {w.name for w in self.wholes if w.scope is not BudgetScope.VIEWINGS}
-        self.charge(vw, [name for name in self.counting(vw, False) if name not in begun])
-
-    def given(self, whole: str, room: int) -> None:
-        self.left_of[whole] = room
-        held = [vw for vw in self.state.viewings.values() if room < 0 and whole in vw.charged and vw.playing]
-        stay = sorted((vw for vw in held if not vw.done), key=lambda vw: vw.package.gain[0])
-        for vw in stay[: max(0, len(stay) - len(held) - room)]:
-            vw.done = True
-            self.state.decisions.append(("move", vw.id))
+    def charge(self, viewing: Viewing, names: list[str]) -> None:
+        """Counts a tune-in towards the named fleet budgets."""
+        if self.budgets:
+            viewing.charged_budgets = tuple(names)
+            self.remaining.update((name, self.remaining[name] - 1) for name in names)
+            self.state.decisions.append(("charge", viewing.id, viewing.charged_budgets))
+
+    def handed(self, viewing: Viewing) -> None:
+        """Counts a viewing that was handed over while it played."""
+        windowed = {budget.name for budget in self.budgets if budget.scope is not BudgetScope.VIEWINGS}
+        self.charge(viewing, [name for name in self.counting(viewing, False) if name not in windowed])
+
+    def given(self, budget: str, room: int) -> None:
+        """Sets what may still be begun here of a fleet budget; ends the cheapest viewings if below 0."""
+        self.remaining[budget] = room
+        held = [
+            viewing
+            for viewing in self.state.viewings.values()
+            if room < 0 and budget in viewing.charged_budgets and viewing.playing
+        ]
+        stay = sorted(
+            (viewing for viewing in held if not viewing.ending), key=lambda viewing: viewing.package.gain[0]
+        )
+        for viewing in stay[: max(0, len(stay) - len(held) - room)]:
+            viewing.ending = True
+            self.state.decisions.append(("move", viewing.id))
--- a/herongap/rules/controller.py
+++ b/herongap/rules/controller.py
@@ -1,20 +1,23 @@
-"""The controller: each input only updates what is known; the host then pulls decisions until none is left."""
+"""The controller: each input only updates the state; the host then takes decisions until none is left."""
 
 from heapq import heappop, heappush
 
 from herongap.interface import DeploymentConfig, EndReason, LoadReport, StreamerEntry, ViewingRequest
 
 from .admission import Admission
-from .placement import PERIOD, Placement, QualityTable
-from .rung_control import DWELL, RungControl
+from .placement import MIN_TIME_LEFT_SECONDS, TICK_SECONDS, Placement, QualityTable
+from .rung_control import MIN_RUNG_SECONDS, RungControl
 from .slow_start import SlowStart
 from .state import ControllerState, Viewing
 
-GLANCE, HOLD = 0.02, 0.4  # seconds between looks at all that wait; part of the join target without room
+RECHECK_SECONDS = 0.02  # least time between two checks of all waiting viewings
+HOLD_PART = 0.4  # part of the join target for which a viewing waits for room
 
 
 class Controller:
-    # By name, so that baselines and the tests' broken controllers can put in others.
+    """Takes the inputs of one controller and decides."""
+
+    # Class attributes, so that baselines and the tests' broken controllers can replace them by name.
     ControllerState, QualityTable, SlowStart, Admission, RungControl, Placement = (
         ControllerState,
         QualityTable,
@@ -24,155 +27,190 @@
         Placement,
     )
 
-    def __init__(self, now: float, seed: int, charter: DeploymentConfig):
-        self.state = k = self.ControllerState(seed, charter)
-        self.quality_table, self.slow_start = self.QualityTable(k, now), self.SlowStart(k, now, charter)
-        self.admission, self.rung_control = self.Admission(k, now, charter), self.RungControl(k)
+    def __init__(self, now: float, seed: int, config: DeploymentConfig):
+        self.state = state = self.ControllerState(seed, config)
+        self.quality_table, self.slow_start = (
+            self.QualityTable(state, now),
+            self.SlowStart(state, now, config),
+        )
+        self.admission, self.rung_control = self.Admission(state, now, config), self.RungControl(state)
         self.placement = self.Placement(
-            self.quality_table, self.slow_start, self.admission, self.rung_control, charter
+            self.quality_table, self.slow_start, self.admission, self.rung_control, config
         )
-        self.streamers, self.viewings, self.waiting = k.streamers, k.viewings, k.waiting
-        self.share_told, self.load_told = k.share_told, self.rung_control.load_told
-        self.fresh, self.due, self.may_still_send = [], self.placement.due, self.slow_start.may_still_send
-        self.next_tick_at, self.wake, self.glance = now, -1e9, now
-        k.decisions.extend([("follow",)] * charter.must_follow)
+        self.streamers, self.viewings, self.waiting = state.streamers, state.viewings, state.waiting
+        self.share_told, self.load_told = state.share_told, self.rung_control.load_told
+        self.unplaced, self.due, self.may_still_send = [], self.placement.due, self.slow_start.may_still_send
+        self.next_tick_at, self.wake, self.recheck_at = now, -1e9, now
+        state.decisions.extend([("follow",)] * config.must_follow)
 
-    # What is heard, as `herongap.host` passes it on: each call only updates what is known.
+    # Inputs, as `herongap.host` passes them on. The record names them, so their names stay.
 
     def listed(self, now: float, kind: str, lines: tuple[StreamerEntry, ...]) -> None:
+        """A streamer list, or the news that it could not be had."""
         if kind == "failed":
             heappush(self.due, (now + 0.5 + self.state.random_fraction(), "follow", 0))
         else:
             self.state.listed(now, kind, lines)
 
-    def asked(self, now: float, ask: ViewingRequest) -> None:
-        vw = self.viewings[ask.viewing] = Viewing(ask, self.state.packages[ask.package], now)
-        self.state.asks += 1
-        self.state.named.update((None, *ask.holders))
-        vw.flood = self.admission.asked(now, ask.member)
-        self.wait(vw, now + HOLD * vw.package.join)
-
-    def wait(self, vw: Viewing, until: float) -> None:
-        self.waiting[vw.id], vw.hold = vw, min(until, vw.until - 0.05)
-        heappush(self.due, (vw.hold, "hold", vw.id))
-        self.fresh.append(vw)
-
-    def handed(self, now: float, ask: ViewingRequest, streamer: int) -> None:
-        vw = self.viewings[ask.viewing] = Viewing(ask, self.state.packages[ask.package], now)
-        # It stood before: others have not grown by it. Nobody here chose its rung: it is raised at any word.
-        vw.apart, vw.playing, vw.tries, vw.stepped = True, True, 1, now - DWELL
-        self.state.put(now, vw, self.streamers[streamer])
-        self.quality_table.cells[vw.package.name, streamer][0] += 1
-        self.admission.handed(vw)
-
-    def rung_told(self, now: float, viewing: int, rung: float) -> None:
-        if (vw := self.viewings.get(viewing)) and vw.streamer is not None:
-            self.state.set_rung(now, vw, int(rung))
-
-    def started(self, now: float, viewing: int, number: int, streamer: int, taken: float) -> None:
-        if vw := self.viewings.get(viewing):
-            vw.playing, vw.stepped = True, now
-            self.quality_table.cells[vw.package.name, streamer][0] += 1
+    def asked(self, now: float, request: ViewingRequest) -> None:
+        """A viewer requests a viewing."""
+        viewing = self.viewings[request.viewing] = Viewing(request, self.state.packages[request.package], now)
+        self.state.recent_requests += 1
+        self.state.named_holders.update((None, *request.holders))
+        viewing.is_flood = self.admission.asked(now, request.member)
+        self.wait(viewing, now + HOLD_PART * viewing.package.join_target)
+
+    def wait(self, viewing: Viewing, until: float) -> None:
+        """Lets a viewing wait for room, at most until then."""
+        self.waiting[viewing.id], viewing.hold_until = (
+            viewing,
+            min(until, viewing.deadline - MIN_TIME_LEFT_SECONDS),
+        )
+        heappush(self.due, (viewing.hold_until, "hold", viewing.id))
+        self.unplaced.append(viewing)
+
+    def handed(self, now: float, request: ViewingRequest, streamer_id: int) -> None:
+        """A viewing that plays already is handed over to this controller."""
+        viewing = self.viewings[request.viewing] = Viewing(request, self.state.packages[request.package], now)
+        # It played before, so the load of others has not grown with it. No rung was chosen for it here: any
+        # load report may raise it.
+        viewing.unsampled, viewing.playing, viewing.tries, viewing.rung_set_at = (
+            True,
+            True,
+            1,
+            now - MIN_RUNG_SECONDS,
+        )
+        self.state.assign(now, viewing, self.streamers[streamer_id])
+        self.quality_table.cells[viewing.package.name, streamer_id][0] += 1
+        self.admission.handed(viewing)
+
+    def rung_told(self, now: float, viewing_id: int, rung: float) -> None:
+        """A streamer reports the rung at which it plays a viewing."""
+        if (viewing := self.viewings.get(viewing_id)) and viewing.streamer is not None:
+            self.state.set_rung(now, viewing, int(rung))
+
+    def started(self, now: float, viewing_id: int, number: int, streamer_id: int, taken: float) -> None:
+        """A streamer started a viewing."""
+        if viewing := self.viewings.get(viewing_id):
+            viewing.playing, viewing.rung_set_at = True, now
+            self.quality_table.cells[viewing.package.name, streamer_id][0] += 1
 
     def ended(
         self,
         now: float,
-        viewing: int,
+        viewing_id: int,
         number: int,
-        streamer: int,
-        how: EndReason,
+        streamer_id: int,
+        reason: EndReason,
         taken: float,
         closed: bool,
         load: LoadReport | None,
     ) -> None:
-        k, st = self.state, self.streamers[streamer]
-        k.loaded(now, st, load)
-        if (vw := self.viewings.get(viewing)) is None:
+        """A tune-in, or the viewing that it started, ended; `closed` if no other tune-in may follow."""
+        state, streamer = self.state, self.streamers[streamer_id]
+        state.on_load_report(now, streamer, load)
+        if (viewing := self.viewings.get(viewing_id)) is None:
             return
-        if vw.streamer is not None:
-            vw.apart |= how is EndReason.BROKEN  # others lose theirs there too, and ask no less of the rest
-            k.drop(now, vw)
-        if not vw.playing and how is EndReason.FULL:
-            # Without a report of its own, a streamer that refuses by load is taken to be at that load.
-            if load is None and k.full_from:
-                st.link.told(now, k.full_from, 0.0)
-        elif how is EndReason.BROKEN or not (vw.playing or how in (EndReason.CALLED_OFF, EndReason.NOT_SENT)):
-            self.quality_table.failed(now, vw, st, how)
-        if closed or vw.done:
-            del self.viewings[viewing]
+        if viewing.streamer is not None:
+            # Other controllers lose viewings there too, and their load on the other streamers stays.
+            viewing.unsampled |= reason is EndReason.BROKEN
+            state.release(now, viewing)
+        if not viewing.playing and reason is EndReason.FULL:
+            # A streamer that refuses by load, without a report, is assumed to be at that load.
+            if load is None and state.full_from:
+                streamer.link.on_report(now, state.full_from, 0.0)
+        elif reason is EndReason.BROKEN or not (
+            viewing.playing or reason in (EndReason.CALLED_OFF, EndReason.NOT_SENT)
+        ):
+            self.quality_table.failed(now, viewing, streamer, reason)
+        if closed or viewing.ending:
+            del self.viewings[viewing_id]
         else:
-            vw.tried.add(streamer)
-            if how not in (EndReason.FULL, EndReason.UNREACHED, EndReason.NOT_SENT):
-                vw.ran.append((st.entry.zone, st.entry.cell, vw.sent))
-            vw.tries = k.tune_ins if how is EndReason.NOT_SENT else vw.tries
-            self.wait(vw, max(now + 0.05, vw.aim))
-        k.look = True
-
-    def left(self, now: float, viewing: int) -> None:
-        if vw := self.viewings.get(viewing):
-            vw.done = True
-            self.waiting.pop(viewing, None)
-            if vw.streamer is None:
-                del self.viewings[viewing]
+            viewing.tried.add(streamer_id)
+            if reason not in (EndReason.FULL, EndReason.UNREACHED, EndReason.NOT_SENT):
+                viewing.may_have_run.append((streamer.entry.zone, streamer.entry.cell, viewing.sent_at))
+            viewing.tries = state.tune_ins if reason is EndReason.NOT_SENT else viewing.tries
+            self.wait(viewing, max(now + 0.05, viewing.join_deadline))
+        state.recheck = True
+
+    def left(self, now: float, viewing_id: int) -> None:
+        """The viewer left before its request was answered."""
+        if viewing := self.viewings.get(viewing_id):
+            viewing.ending = True
+            self.waiting.pop(viewing_id, None)
+            if viewing.streamer is None:
+                del self.viewings[viewing_id]
 
     def probed(
-        self, now: float, streamer: int, how: EndReason, taken: float, load: LoadReport | None
+        self, now: float, streamer_id: int, reason: EndReason, taken: float, load: LoadReport | None
     ) -> None:
-        self.state.loaded(now, self.streamers[streamer], load)
-        if how is not EndReason.PLAYED:
-            self.state.set_aside(now, self.streamers[streamer], True)
-        self.placement.probing.discard(streamer)
-        self.fresh += [vw for vw in self.waiting.values() if vw.waits == streamer]
-        self.state.look = True
-
-    def heard(self, now: float, peer: int, words: bytes) -> None: ...  # what others ask helped too little
-
-    def counted(self, now: float, me: int | None, controllers: int) -> None:
-        self.state.rank, self.state.controllers, self.state.look = me, controllers, True
-        for st in self.streamers.values():
-            st.turn = -1
-
-    def given(self, now: float, whole: str, room: int) -> None:
-        self.admission.given(whole, room)
-        self.state.look = True
+        """The result of a probe, PLAYED if it was answered."""
+        self.state.on_load_report(now, self.streamers[streamer_id], load)
+        if reason is not EndReason.PLAYED:
+            self.state.set_aside(now, self.streamers[streamer_id], True)
+        self.placement.probing.discard(streamer_id)
+        self.unplaced += [viewing for viewing in self.waiting.values() if viewing.probed == streamer_id]
+        self.state.recheck = True
+
+    def heard(self, now: float, peer: int, words: bytes) -> None:
+        """A message of another controller: ignored, as the demand of others helped too little."""
+
+    def counted(self, now: float, rank: int | None, controllers: int) -> None:
+        """The number of live controllers and the rank of this one, None if uncertain."""
+        self.state.rank, self.state.controllers, self.state.recheck = rank, controllers, True
+        for streamer in self.streamers.values():
+            streamer.own_slot = -1
+
+    def given(self, now: float, budget: str, room: int) -> None:
+        """What may still be begun here of a fleet budget."""
+        self.admission.given(budget, room)
+        self.state.recheck = True
 
     def woke(self, now: float) -> None:
-        # Rounding can ring a hair before the due time; a spent alarm must not pass for one still set. One
-        # that an earlier one has replaced rings too, and asks for no other: they would become ever more.
+        """The time of a `wake` decision has come."""
+        # With rounding, a timer can fire slightly early; one that has fired must not pass for one that is
+        # set. A timer that an earlier one has replaced fires too, and must not set another: there would be
+        # ever more of them.
         if now + 0.01 >= self.wake:
             self.wake = -1e9
 
     def decide(self, now: float) -> tuple | None:
-        if not (answers := self.state.decisions):
+        """The next decision, None if there is none."""
+        if not (decisions := self.state.decisions):
             self.think(now)
-        return answers.popleft() if answers else None
+        return decisions.popleft() if decisions else None
 
     def think(self, now: float) -> None:
-        k, place = self.state, self.placement.place
+        """Runs what is due, checks what has changed, and sets the next timer."""
+        state, place = self.state, self.placement.place
         while self.due and self.due[0][0] <= now:
-            _, what, who = heappop(self.due)
+            _, what, viewing_id = heappop(self.due)
             if what == "follow":
-                k.decisions.append(("follow",))
-            elif (vw := self.waiting.get(who)) and not place(now, vw) and now >= max(vw.hold, vw.turn):
-                self.placement.give_up(vw)
+                state.decisions.append(("follow",))
+            elif (
+                (viewing := self.waiting.get(viewing_id))
+                and not place(now, viewing)
+                and now >= max(viewing.hold_until, viewing.slot_due_at)
+            ):
+                self.placement.give_up(viewing)
         if now >= self.next_tick_at:
-            # The one periodic job: links, scores and ranks, the going price.
-            self.next_tick_at, k.look = now + PERIOD, True
-            for part in (k, self.quality_table, self.rung_control):
+            # The only periodic job: capacities, scores and ranks, the price of a step.
+            self.next_tick_at, state.recheck = now + TICK_SECONDS, True
+            for part in (state, self.quality_table, self.rung_control):
                 part.tick(now)
-        for streamer in k.over:
-            self.rung_control.cut(now, self.streamers[streamer])
-            self.rung_control.raise_one(now, self.streamers[streamer])
-        k.over.clear()
-        # One more request makes no room: those that wait are looked at when something else has changed, and
-        # not at every single word, since with many in wait all time would go into looking.
-        if look := k.look and now >= self.glance:
-            k.look, self.glance = False, now + GLANCE
-        fresh, self.fresh = list(self.waiting.values()) if look else self.fresh, []
-        for vw in fresh:
-            if self.waiting.get(vw.id) is vw:
-                place(now, vw)
-        wake = min([self.next_tick_at, *(at for at, *_ in self.due[:1]), *[self.glance] * k.look])
+        for streamer_id in state.to_check:
+            self.rung_control.cut(now, self.streamers[streamer_id])
+            self.rung_control.raise_one(now, self.streamers[streamer_id])
+        state.to_check.clear()
+        # A further request makes no room: waiting viewings are checked only when something else has changed,
+        # and not at every single report, as with many of them all time would go into checks.
+        if recheck := state.recheck and now >= self.recheck_at:
+            state.recheck, self.recheck_at = False, now + RECHECK_SECONDS
+        unplaced, self.unplaced = list(self.waiting.values()) if recheck else self.unplaced, []
+        for viewing in unplaced:
+            if self.waiting.get(viewing.id) is viewing:
+                place(now, viewing)
+        wake = min([self.next_tick_at, *(at for at, *_ in self.due[:1]), *[self.recheck_at] * state.recheck])
         if not now < self.wake <= wake:
             self.wake = wake
-            k.decisions.append(("wake", wake))
+            state.decisions.append(("wake", wake))
--- a/herongap/rules/placement.py
+++ b/herongap/rules/placement.py
@@ -1,4 +1,8 @@
-"""Placing: where a waiting viewing goes and at which rung, by the paper's table, and when it is given up."""
+"""Placement: which streamer a waiting viewing goes to, on which rung, and when it is given up.
+
+A table holds the mean quality that the recent viewings of this controller got: a row per package, a cell per
+streamer.
+"""
 
 from collections import defaultdict
 from heapq import heappush
@@ -7,28 +11,41 @@
 
 from .admission import Admission
 from .rung_control import MARK, RungControl
-from .slow_start import FIRST, SlowStart
-from .state import AWAY, ControllerState, Streamer, Viewing
+from .slow_start import FIRST_TUNE_IN_PART, SlowStart
+from .state import SET_ASIDE_SECONDS, ControllerState, Streamer, Viewing
 
-PERIOD, RANKS, WINDOW = 0.5, 5.0, 60.0  # the timer; ranks refresh; old viewings fade from a cell
-THIN, SEED = 3, 0.05  # viewings that make a cell count; share of set-ups that go round robin all the same
-TIE, CROSS = 0.10, 0.1  # scores this close to the best tie; another zone counts as so much fuller among them
-FAIL_SECONDS = 10.0  # seconds of full stall that a failed tune-in counts as in its cell
-FLOOD_MARK, COME_BACK = 0.5, 0.5  # part of links and places that a flood may fill; seconds until a return
+TICK_SECONDS = 0.5
+RANKS_REFRESH_SECONDS = 5.0
+CELL_FADE_SECONDS = 60.0  # time in which old viewings lose their weight in a cell
+MIN_CELL_VIEWINGS = 3  # a cell with fewer viewings does not count by itself
+SEED = 0.05  # share of set-ups that go round robin regardless of scores; experiment files set it by this name
+TIE_PART = 0.10  # scores this close to the best one tie
+OTHER_ZONE_UTILIZATION = 0.1  # among those that tie, a streamer of another zone counts as this much fuller
+FAILURE_STALL_SECONDS = 10.0  # a failed tune-in counts in its cell as a full stall of this length
+STALL_PENALTY = 370  # score that a second of full stall costs
+KBIT_PER_SCORE = 20  # rate, in kbit a second, that earns one point of score each second
+FLOOD_FILL_PART = 0.5  # part of links and places that a flood may fill
+MAX_COME_BACK_SECONDS = 0.5
+MIN_TIME_LEFT_SECONDS = 0.05  # a viewer with less time left is answered at once
 
 
 class QualityTable:
-    def __init__(self, known: ControllerState, now: float):
-        self.state, self.refresh = known, now
+    """The quality that recent viewings got, by package and streamer."""
+
+    def __init__(self, state: ControllerState, now: float):
+        self.state, self.refresh_at = state, now
         # A cell: viewings, seconds played, score summed over those seconds.
         self.cells: dict[tuple, list[float]] = defaultdict(lambda: [0.0, 0.0, 0.0])
         self.ranks, self.fill, self.last_chosen = {}, {}, {}
 
-    def pick(self, now: float, vw: Viewing, room: list[Streamer]) -> Streamer:
-        """The best cell, ties to the least used; round robin for thin cells and a share of all set-ups."""
-        k, name = self.state, vw.package.name
-        # With few viewings all cells are thin: they count as the average of their zone, as the paper's k-NN
-        # takes neighbours at a greater distance, and seeding is left to rows that can fill.
+    def pick(self, now: float, viewing: Viewing, room: list[Streamer]) -> Streamer:
+        """The streamer with the best cell; among those that tie, the least used one.
+
+        Round robin for cells with few viewings, and for a share of all set-ups.
+        """
+        state, name = self.state, viewing.package.name
+        # With few viewings in all, no cell has enough of them: then the average of the zone counts, as
+        # k-nearest-neighbours takes neighbours at a greater distance, and only rows that can fill are seeded.
         score = {
             st: self.ranks.get(
                 (name, st.entry.streamer),
@@ -37,148 +54,198 @@
             for st in room
         }
         best = max(score.values())
-        tied = [st for st in room if score[st] >= best - TIE * abs(best)]
-        near = {st: st.entry.zone == k.zone for st in room}
-        st = min(tied, key=lambda st: (k.utilization(now, st) - CROSS * near[st], k.random_fraction()))
-        if k.random_fraction() < max(SEED, ((name, st.entry.streamer) not in self.ranks) * self.fill[name]):
-            # Other zones are seeded only in need: crossing costs, and breaks when a zone is cut off.
+        tied = [st for st in room if score[st] >= best - TIE_PART * abs(best)]
+        near = {st: st.entry.zone == state.zone for st in room}
+        chosen = min(
+            tied,
+            key=lambda st: (
+                state.utilization(now, st) - OTHER_ZONE_UTILIZATION * near[st],
+                state.random_fraction(),
+            ),
+        )
+        if state.random_fraction() < max(
+            SEED, ((name, chosen.entry.streamer) not in self.ranks) * self.fill[name]
+        ):
+            # Other zones are seeded only if this one has no room: traffic across zones costs, and breaks when
+            # a zone is cut off.
             room = sorted([st for st in room if near[st]] or room, key=lambda st: st.entry.streamer)
-            # Each starts its round elsewhere: with few viewings each, all would seed the same lowest ids.
-            last = self.last_chosen.get(name, room[int(k.random_fraction() * len(room))].entry.streamer)
-            st = next((st for st in room if st.entry.streamer > last), room[0])
-            self.last_chosen[name] = st.entry.streamer
-        return st
-
-    def failed(self, now: float, vw: Viewing, st: Streamer, how: EndReason) -> None:
-        # A failing streamer plays no seconds, so its stale high score would keep winning.
-        cell = self.cells[vw.package.name, st.entry.streamer]
-        cell[1:] = cell[1] + FAIL_SECONDS, cell[2] - FAIL_SECONDS * 370
-        self.state.set_aside(now, st, how is not EndReason.FAULTY)
+            # Each controller starts its round elsewhere: with few viewings each, all would seed the same
+            # lowest ids.
+            last = self.last_chosen.get(name, room[int(state.random_fraction() * len(room))].entry.streamer)
+            chosen = next((st for st in room if st.entry.streamer > last), room[0])
+            self.last_chosen[name] = chosen.entry.streamer
+        return chosen
+
+    def failed(self, now: float, viewing: Viewing, streamer: Streamer, reason: EndReason) -> None:
+        """Counts a failure in the cell of a streamer, and sets the streamer aside."""
+        # A failing streamer plays no seconds, so its old high score would keep winning.
+        cell = self.cells[viewing.package.name, streamer.entry.streamer]
+        cell[1:] = cell[1] + FAILURE_STALL_SECONDS, cell[2] - FAILURE_STALL_SECONDS * STALL_PENALTY
+        self.state.set_aside(now, streamer, reason is not EndReason.FAULTY)
 
     def tick(self, now: float) -> None:
-        fade, streamers = 1 - PERIOD / WINDOW, self.state.streamers
+        """Fades the cells and adds what has played since; refreshes the ranks from time to time."""
+        fade, streamers = 1 - TICK_SECONDS / CELL_FADE_SECONDS, self.state.streamers
         for cell in self.cells.values():
             cell[:] = cell[0] * fade, cell[1] * fade, cell[2] * fade
-        for st in streamers.values():
-            for vw in st.viewings.values():
-                if vw.playing:
-                    cell = self.cells[vw.package.name, st.entry.streamer]
-                    cell[1] += PERIOD
-                    cell[2] += PERIOD * (vw.package.rates[vw.rung] * 8 * st.share / 20 - 370 * (1 - st.share))
-        if now < self.refresh:
+        for streamer in streamers.values():
+            for viewing in streamer.viewings.values():
+                if viewing.playing:
+                    cell = self.cells[viewing.package.name, streamer.entry.streamer]
+                    cell[1] += TICK_SECONDS
+                    cell[2] += TICK_SECONDS * (
+                        viewing.package.rates[viewing.rung] * 8 * streamer.share / KBIT_PER_SCORE
+                        - STALL_PENALTY * (1 - streamer.share)
+                    )
+        if now < self.refresh_at:
             return
-        self.refresh = now + RANKS
+        self.refresh_at = now + RANKS_REFRESH_SECONDS
         for key in [key for key, cell in self.cells.items() if cell[0] + cell[1] < 0.01]:
             del self.cells[key]
         pooled = defaultdict(lambda: [0.0, 0.0, 0.0])
-        for (name, sid), cell in self.cells.items():
-            for near in (sid, sid in streamers and streamers[sid].entry.zone, None):
+        for (name, streamer_id), cell in self.cells.items():
+            for near in (streamer_id, streamer_id in streamers and streamers[streamer_id].entry.zone, None):
                 pooled[name, near][:] = map(sum, zip(pooled[name, near], cell, strict=True))
-        self.ranks = {key: c[2] / c[1] for key, c in pooled.items() if c[0] >= THIN and c[1] > 0}
+        self.ranks = {key: c[2] / c[1] for key, c in pooled.items() if c[0] >= MIN_CELL_VIEWINGS and c[1] > 0}
         self.fill = {name: pooled[name, None][0] / max(1, len(streamers)) for name in self.state.packages}
 
 
 class Placement:
+    """Places the viewings that wait, or gives them up."""
+
     def __init__(
         self,
-        table: QualityTable,
-        turns: SlowStart,
-        limits: Admission,
-        playing: RungControl,
-        c: DeploymentConfig,
+        quality_table: QualityTable,
+        slow_start: SlowStart,
+        admission: Admission,
+        rung_control: RungControl,
+        config: DeploymentConfig,
     ):
-        self.quality_table, self.slow_start, self.admission, self.rung_control = table, turns, limits, playing
-        self.state, self.can_probe, self.probing = table.state, c.probes, set()
-        self.come_back = min(c.come_back, COME_BACK)
-        self.due: list[tuple] = []  # when a viewing is to be looked at: (at, what, viewing)
-
-    def place(self, now: float, vw: Viewing) -> bool:
-        """Send a waiting viewing to the best holder with room, or say that there is none."""
-        k, limits, turns, p = self.state, self.admission, self.slow_start, vw.package
+        self.quality_table, self.slow_start, self.admission, self.rung_control = (
+            quality_table,
+            slow_start,
+            admission,
+            rung_control,
+        )
+        self.state, self.can_probe, self.probing = quality_table.state, config.probes, set()
+        self.come_back = min(config.come_back, MAX_COME_BACK_SECONDS)
+        self.due: list[tuple] = []  # when a waiting viewing is to be looked at again: (at, what, viewing)
+
+    def place(self, now: float, viewing: Viewing) -> bool:
+        """Sends a waiting viewing to the best holder with room or gives it up; False if it still waits."""
+        state, admission, slow_start, package = self.state, self.admission, self.slow_start, viewing.package
         holders = [
             st
-            for st in k.streamers.values()
-            if st.entry.holder_id in vw.ask.holders
-            and st.entry.streamer not in vw.tried
-            and limits.may_repeat_at(now, vw, st)
+            for st in state.streamers.values()
+            if st.entry.holder_id in viewing.request.holders
+            and st.entry.streamer not in viewing.tried
+            and admission.may_repeat_at(now, viewing, st)
         ]
-        spent = vw.tries >= k.tune_ins or (vw.tries and not holders)
-        if spent or vw.top < p.floor or vw.until - now < 0.05:
-            return self.give_up(vw)  # waiting would not help: the viewer is better off coming again
-        seated = p.seats and p.seats <= k.seated[p.name, vw.ask.title]
-        if seated or (vw.tries and not limits.may_repeat(now)) or not limits.within(vw, False):
+        spent = viewing.tries >= state.tune_ins or (viewing.tries and not holders)
+        if spent or viewing.top < package.floor or viewing.deadline - now < MIN_TIME_LEFT_SECONDS:
+            return self.give_up(viewing)  # waiting would not help: the viewer had better retry
+        seated = package.seats and package.seats <= state.seated[package.name, viewing.request.title]
+        if (
+            seated
+            or (viewing.tries and not admission.may_repeat(now))
+            or not admission.within(viewing, False)
+        ):
             return False
         ready = [
             st
             for st in holders
             if st.entry.status is StreamerStatus.ACTIVE
-            and turns.may_send(now, st)
-            and len(st.viewings) < k.places.get(st.entry.kind, 1 << 30)
-            and (not turns.cold(now, st) or limits.within(vw, True))
+            and slow_start.may_send(now, st)
+            and len(st.viewings) < state.places.get(st.entry.kind, 1 << 30)
+            and (not slow_start.is_cold(now, st) or admission.within(viewing, True))
         ]
-        # Where all lose answers all are set aside: one that has been heard of since is better than none.
+        # If all streamers lose answers, all are set aside: then one with a load report since is better than
+        # none.
         ready = [st for st in ready if st.set_aside_until <= now] or [
-            st for st in ready if st.link.heard > st.set_aside_until - AWAY
+            st for st in ready if st.link.reported_at > st.set_aside_until - SET_ASIDE_SECONDS
         ]
-        if vw.flood:
+        if viewing.is_flood:
             ready = [
                 st
                 for st in ready
-                if k.utilization(now, st, p.rates[p.floor]) <= FLOOD_MARK
-                and len(st.viewings) < FLOOD_MARK * k.places.get(st.entry.kind, 1) / k.controllers
+                if state.utilization(now, st, package.rates[package.floor]) <= FLOOD_FILL_PART
+                and len(st.viewings)
+                < FLOOD_FILL_PART * state.places.get(st.entry.kind, 1) / state.controllers
             ]
-        if vw.waits in self.probing or (vw.waits is None and self.inquire(now, vw, ready)):
+        if viewing.probed in self.probing or (viewing.probed is None and self.probe(now, viewing, ready)):
             return False
-        for rung in range(p.floor if vw.flood else vw.top, p.floor - 1, -1):
-            more = p.rates[rung] * (1 + self.rung_control.room(p, rung) if rung > p.floor else 1)
-            room = [st for st in ready if k.utilization(now, st, more) <= MARK]
+        for rung in range(package.floor if viewing.is_flood else viewing.top, package.floor - 1, -1):
+            more = package.rates[rung] * (
+                1 + self.rung_control.room(package, rung) if rung > package.floor else 1
+            )
+            room = [st for st in ready if state.utilization(now, st, more) <= MARK]
             if room:
-                return self.send(now, vw, self.quality_table.pick(now, vw, room), rung)
-        roomy = min(ready, key=lambda st: (k.utilization(now, st), k.random_fraction()), default=None)
-        if fits := roomy is not None and k.utilization(now, roomy, p.rates[p.floor]) <= 1:
-            self.send(now, vw, roomy, p.floor)
-        elif vw.turn <= now and k.rank is not None:
-            # A slot lasts for milliseconds: unless it is waited for, next to none who wait meet theirs.
+                return self.send(now, viewing, self.quality_table.pick(now, viewing, room), rung)
+        emptiest = min(
+            ready, key=lambda st: (state.utilization(now, st), state.random_fraction()), default=None
+        )
+        if (
+            fits := emptiest is not None
+            and state.utilization(now, emptiest, package.rates[package.floor]) <= 1
+        ):
+            self.send(now, viewing, emptiest, package.floor)
+        elif viewing.slot_due_at <= now and state.rank is not None:
+            # A slot lasts for milliseconds: a viewing that is not woken for it would hardly ever meet one.
             due = [
-                (turns.next_slot(now, st) + 0.1) * turns.slot_seconds
+                (slow_start.next_slot(now, st) + 0.1) * slow_start.slot_seconds
                 for st in holders
-                if turns.cold(now, st) and st.entry.status is StreamerStatus.ACTIVE
+                if slow_start.is_cold(now, st) and st.entry.status is StreamerStatus.ACTIVE
             ]
-            last = min(vw.aim - (0.0 if vw.tries else FIRST * p.join), vw.until - 0.05)
+            last = min(
+                viewing.join_deadline - (0.0 if viewing.tries else FIRST_TUNE_IN_PART * package.join_target),
+                viewing.deadline - MIN_TIME_LEFT_SECONDS,
+            )
             if due := [at for at in due if now < at < last]:
-                vw.turn = min(due)
-                heappush(self.due, (vw.turn, "turn", vw.id))
+                viewing.slot_due_at = min(due)
+                heappush(self.due, (viewing.slot_due_at, "turn", viewing.id))
         return fits
 
-    def inquire(self, now: float, vw: Viewing, ready: list[Streamer]) -> bool:
-        """Probe a holder not lately heard of: a controller with few viewings knows next to nothing."""
-        if unheard := self.can_probe and [st for st in ready if now - st.link.heard > 1]:
-            vw.waits = unheard[int(self.state.random_fraction() * len(unheard))].entry.streamer
-            self.probing.add(vw.waits)
-            self.state.decisions.append(("probe", vw.waits))
-        return bool(unheard)
-
-    def send(self, now: float, vw: Viewing, st: Streamer, rung: int) -> bool:
-        k, limits = self.state, self.admission
-        del k.waiting[vw.id]
-        limits.charge(vw, limits.counting(vw, self.slow_start.cold(now, st)))
-        vw.rung, vw.tries, vw.sent, vw.stepped = rung, vw.tries + 1, now, now
-        if limits.extra and vw.tries > 1:
-            limits.extras.append(now)
-        st.slot = int(now / self.slow_start.slot_seconds)
-        k.put(now, vw, st)
-        # The first leaves room for a second within the join target; that one may use what is left of it.
-        most = max(FIRST * vw.package.join, vw.aim - now if vw.tries > 1 else 0.0)
-        k.decisions += ("rung", vw.id, rung), ("tune_in", vw.id, st.entry.streamer, min(most, vw.until - now))
+    def probe(self, now: float, viewing: Viewing, ready: list[Streamer]) -> bool:
+        """Probes a holder without a recent report: a controller with few viewings gets hardly any reports."""
+        if unreported := self.can_probe and [st for st in ready if now - st.link.reported_at > 1]:
+            viewing.probed = unreported[int(self.state.random_fraction() * len(unreported))].entry.streamer
+            self.probing.add(viewing.probed)
+            self.state.decisions.append(("probe", viewing.probed))
+        return bool(unreported)
+
+    def send(self, now: float, viewing: Viewing, streamer: Streamer, rung: int) -> bool:
+        """Decides on a tune-in."""
+        state, admission = self.state, self.admission
+        del state.waiting[viewing.id]
+        admission.charge(viewing, admission.counting(viewing, self.slow_start.is_cold(now, streamer)))
+        viewing.rung, viewing.tries, viewing.sent_at, viewing.rung_set_at = rung, viewing.tries + 1, now, now
+        if admission.retry_budget and viewing.tries > 1:
+            admission.retries.append(now)
+        streamer.last_slot = int(now / self.slow_start.slot_seconds)
+        state.assign(now, viewing, streamer)
+        # The first tune-in leaves time for a second one within the join target; that may use all that is
+        # left of it.
+        time_out = max(
+            FIRST_TUNE_IN_PART * viewing.package.join_target,
+            viewing.join_deadline - now if viewing.tries > 1 else 0.0,
+        )
+        state.decisions += (
+            ("rung", viewing.id, rung),
+            ("tune_in", viewing.id, streamer.entry.streamer, min(time_out, viewing.deadline - now)),
+        )
         return True
 
-    def give_up(self, vw: Viewing) -> bool:
-        """The final answer, at once: blocked where a return does no harm, aborted where it might."""
-        k, p = self.state, vw.package
-        del k.waiting[vw.id], k.viewings[vw.id]
-        safe = p.repeat is RepeatSafety.HARMLESS or (p.repeat, p.group) == (
+    def give_up(self, viewing: Viewing) -> bool:
+        """Decides on the final answer: blocked if a retry does no harm, aborted if it might."""
+        state, package = self.state, viewing.package
+        del state.waiting[viewing.id], state.viewings[viewing.id]
+        safe = package.repeat is RepeatSafety.HARMLESS or (package.repeat, package.group) == (
             RepeatSafety.IN_GROUP,
             RepeatScope.ALL,
         )
-        k.decisions.append(("abort", vw.id) if vw.ran and not safe else ("block", vw.id, self.come_back))
+        state.decisions.append(
+            ("abort", viewing.id)
+            if viewing.may_have_run and not safe
+            else ("block", viewing.id, self.come_back)
+        )
         return True
--- a/herongap/rules/rung_control.py
+++ b/herongap/rules/rung_control.py
@@ -1,83 +1,107 @@
-"""Cuts and raises: the rungs of what plays, by the going price of a kB a second."""
+"""Rung control: steps playing viewings down on overloaded links, and up where there is room.
+
+The price of a kB a second decides: what the steps that were taken last are worth on average.
+"""
 
 from .state import ControllerState, PackageProfile, Streamer, Viewing
 
+# Experiment files set MARK and AHEAD by these names.
 MARK = 0.95  # part of a link or uplink that set-ups and raises may fill
-AHEAD = 2.0  # a rung above the floor must fit so many times more, as far as others meet this one
-OVER = 1.04  # use above which playing viewings are cut
-SETTLE, DWELL = 1.0, 6.0  # seconds: for a cut to show, beside the lateness of notes; from a step to a raise
+AHEAD = 2.0  # a rung above the floor must fit so many times more, as other controllers may see the same room
+OVERLOAD = 1.04  # utilization above which playing viewings are stepped down
+CUT_SETTLE_SECONDS = 1.0  # time until a cut shows in reports, beside their age
+MIN_RUNG_SECONDS = 6.0  # time from a step to a raise
 
 
 class RungControl:
-    def __init__(self, known: ControllerState):
-        self.state, self.price = known, 0.0
+    """Raises and cuts the rungs of the viewings that play."""
+
+    def __init__(self, state: ControllerState):
+        self.state, self.price = state, 0.0
 
     def tick(self, now: float) -> None:
-        # Own viewings are a sample of all: what their last steps are worth, on the mean, is the price.
-        gains = [vw.package.gain[vw.rung] for vw in self.state.viewings.values() if vw.playing]
+        """Updates the price."""
+        # The viewings of this controller are a sample of all.
+        gains = [v.package.gain[v.rung] for v in self.state.viewings.values() if v.playing]
         self.price = sum(gains) / len(gains) if gains else 0.0
 
-    def room(self, p: PackageProfile, rung: int) -> float:
-        """How often a rung must fit again for what others may do: the cheaper its last step, the more."""
-        # Others see the same room at once; what they send unheard goes by the viewings there, not by them.
-        price = self.price / p.gain[rung] if self.price else 1.0
+    def room(self, package: PackageProfile, rung: int) -> float:
+        """How many more times a rung must fit, as others may step up too; more for a cheaper last step."""
+        # The others see the same room at the same time. How much they add unseen depends on the viewings
+        # there, not on the number of controllers.
+        price = self.price / package.gain[rung] if self.price else 1.0
         return AHEAD * (1 - 1 / max(1, self.state.controllers)) * price
 
-    def load_told(self, now: float, streamer: int, uplink: bool, viewing: int, ratio: float) -> None:
-        k = self.state
-        st, vw = k.streamers[streamer], k.viewings.get(viewing)
-        # The word at set-up is about now; later ones come as late as the settings say.
-        if first := vw is not None and now - vw.stepped < 0.1:
-            vw.stepped = now - DWELL  # its rung was chosen on little word: it may be raised on this one
-        (st.rack if uplink else st.link).told(now, ratio, 0.0 if first else k.late)
-        k.over.add(streamer)
+    def load_told(self, now: float, streamer_id: int, uplink: bool, viewing_id: int, ratio: float) -> None:
+        """Takes a streamer's report of its link, or of its rack's uplink."""
+        state = self.state
+        streamer, viewing = state.streamers[streamer_id], state.viewings.get(viewing_id)
+        # A report that comes with a set-up is current; later ones are as old as the settings say.
+        if first := viewing is not None and now - viewing.rung_set_at < 0.1:
+            # Its rung was chosen on little information: it may be raised on this report.
+            viewing.rung_set_at = now - MIN_RUNG_SECONDS
+        (streamer.rack if uplink else streamer.link).on_report(now, ratio, 0.0 if first else state.report_age)
+        state.to_check.add(streamer_id)
 
-    def raise_one(self, now: float, st: Streamer) -> None:
-        k = self.state
+    def raise_one(self, now: float, streamer: Streamer) -> None:
+        """Steps up the viewing of a streamer that gains most by it, if there is room."""
+        state = self.state
         up = [
-            vw for vw in st.viewings.values() if vw.playing and vw.rung < vw.top and now - vw.stepped >= DWELL
+            viewing
+            for viewing in streamer.viewings.values()
+            if viewing.playing
+            and viewing.rung < viewing.top
+            and now - viewing.rung_set_at >= MIN_RUNG_SECONDS
         ]
-        for vw in sorted(up, key=lambda vw: -vw.package.gain[vw.rung + 1])[:1]:
-            # All others here hear the same word at the same time, and may all raise on it.
-            rates, use, own = vw.package.rates, k.utilization(now, st), st.link.own / st.link.size
-            for rung in range(vw.top, vw.rung, -1):
-                more = max(rates[rung] - rates[vw.rung], 1e-9) / st.link.size
-                part = (MARK - use) / (more + max(0.0, use - own) * (rates[rung] / rates[vw.rung] - 1))
-                if use + more * (1 + self.room(vw.package, rung)) <= MARK and (
-                    part >= 1 or (rung == vw.rung + 1 and k.random_fraction() < part)
+        for viewing in sorted(up, key=lambda viewing: -viewing.package.gain[viewing.rung + 1])[:1]:
+            # All the others here get the same report at the same time, and may all raise on it.
+            rates, use, own = (
+                viewing.package.rates,
+                state.utilization(now, streamer),
+                streamer.link.own / streamer.link.capacity,
+            )
+            for rung in range(viewing.top, viewing.rung, -1):
+                more = max(rates[rung] - rates[viewing.rung], 1e-9) / streamer.link.capacity
+                part = (MARK - use) / (more + max(0.0, use - own) * (rates[rung] / rates[viewing.rung] - 1))
+                if use + more * (1 + self.room(viewing.package, rung)) <= MARK and (
+                    part >= 1 or (rung == viewing.rung + 1 and state.random_fraction() < part)
                 ):
-                    self.step(now, vw, rung)
+                    self.step(now, viewing, rung)
                     return
 
-    def cut(self, now: float, st: Streamer) -> None:
-        """Step down this controller's own part of what is asked too much, cheapest steps first."""
-        k = self.state
-        for pipe in (st.link, st.rack):
-            use = pipe.utilization(now, k.usual_load)
-            # Words about the time before the last cut would cut twice for one shortage.
-            if use <= OVER or now - pipe.eased < k.late + SETTLE:
+    def cut(self, now: float, streamer: Streamer) -> None:
+        """Steps down this controller's part of an overload of a streamer's links, cheapest steps first."""
+        state = self.state
+        for link in (streamer.link, streamer.rack):
+            use = link.utilization(now, state.usual_load)
+            # Reports from before the last cut would cut twice for one overload.
+            if use <= OVERLOAD or now - link.cut_at < state.report_age + CUT_SETTLE_SECONDS:
                 continue
-            pipe.eased = now
+            link.cut_at = now
             held = [
-                vw
-                for vw in k.viewings.values()
-                if vw.playing and vw.streamer and pipe in (vw.streamer.link, vw.streamer.rack)
+                viewing
+                for viewing in state.viewings.values()
+                if viewing.playing
+                and viewing.streamer
+                and link in (viewing.streamer.link, viewing.streamer.rack)
             ]
-            # Each step costs the viewer: all that one viewing gives up goes in a single step.
-            goal, stepped = pipe.own * MARK / use, {}
-            while pipe.own > goal and (down := [vw for vw in held if vw.rung > vw.package.floor]):
-                vw = min(down, key=lambda vw: vw.package.gain[vw.rung])
-                # By chance if greater than due: single viewings of many controllers must not all step.
-                rates = vw.package.rates
-                due = (pipe.own - goal) * self.price / vw.package.gain[vw.rung]
-                if k.random_fraction() * (rates[vw.rung] - rates[vw.rung - 1]) > due:
+            # Each step costs the viewer: all that one viewing gives up is a single step.
+            goal, stepped = link.own * MARK / use, {}
+            while link.own > goal and (down := [v for v in held if v.rung > v.package.floor]):
+                viewing = min(down, key=lambda viewing: viewing.package.gain[viewing.rung])
+                # By chance if the step is larger than due: many controllers with a single viewing each must
+                # not all step down.
+                rates = viewing.package.rates
+                due = (link.own - goal) * self.price / viewing.package.gain[viewing.rung]
+                if state.random_fraction() * (rates[viewing.rung] - rates[viewing.rung - 1]) > due:
                     break
-                k.set_rung(now, vw, vw.rung - 1)
-                stepped[vw.id] = vw
-            for vw in stepped.values():
-                self.step(now, vw, vw.rung)
+                state.set_rung(now, viewing, viewing.rung - 1)
+                stepped[viewing.id] = viewing
+            for viewing in stepped.values():
+                self.step(now, viewing, viewing.rung)
 
-    def step(self, now: float, vw: Viewing, rung: int) -> None:
-        self.state.set_rung(now, vw, rung)
-        vw.stepped = now
-        self.state.decisions.append(("rung", vw.id, rung))
+    def step(self, now: float, viewing: Viewing, rung: int) -> None:
+        """Sets the rung of a playing viewing."""
+        self.state.set_rung(now, viewing, rung)
+        viewing.rung_set_at = now
+        self.state.decisions.append(("rung", viewing.id, rung))
--- a/herongap/rules/state.py
+++ b/herongap/rules/state.py
@@ -1,4 +1,4 @@
-"""What one controller knows, shared by all its parts: streamers, pipes, viewings, what it is yet to say."""
+"""The state of one controller, shared by its parts: streamers, links, viewings and pending decisions."""
 
 from collections import Counter, defaultdict, deque
 from statistics import fmean, median_low
@@ -13,196 +13,279 @@
     ViewingRequest,
 )
 
-SILENT = 0.4  # share delivered under which a streamer counts as failing, not as full
-AWAY = 4.0  # how long a failing streamer is set aside, and half as much more by chance
-FADE, FORGET = 16.0, 120.0  # seconds: in which word of others' use fades; until one that left is forgotten
+SILENT_SHARE = 0.4  # delivered share below which a streamer counts as failing rather than overloaded
+SET_ASIDE_SECONDS = 4.0  # pause of a failing streamer; a random part of half as much is added
+REPORT_FADE_SECONDS = 16.0  # time in which a load report loses its weight
+FORGET_SECONDS = 120.0  # time until a streamer that left the list is deleted
+LOAD_HISTORY_SECONDS = 10
+ANSWER_REPORT_AGE_SECONDS = 0.3  # age of the load report that comes with an answer
 
 
 class SharedLink:
-    """A link or a rack's uplink: what this controller asks of it and what it heard of the rest."""
+    """A streamer's link or a rack's uplink: this controller's own load on it, and reports of the total.
 
-    def __init__(self, size: float, every: "SharedLink | None" = None):
-        self.size, self.own, self.rest, self.heard, self.eased = size, 0.0, 0.0, -1e9, -1e9
-        self.filled, self.every, self.base, self.one, self.past = 1.0, every, 0.0, 0.0, deque()
+    `all_links` is the sum of all links; None for that sum itself.
+    """
+
+    def __init__(self, capacity: float, all_links: "SharedLink | None" = None):
+        self.capacity, self.own, self.others, self.reported_at, self.cut_at = capacity, 0.0, 0.0, -1e9, -1e9
+        self.filled, self.all_links, self.base, self.last_change, self.history = (
+            1.0,
+            all_links,
+            0.0,
+            0.0,
+            deque(),
+        )
 
     def add(self, now: float, kb: float) -> None:
-        self.past.append((now, self.own))
+        """Changes the own load by `kb`, in kB a second."""
+        self.history.append((now, self.own))
         self.own += kb
-        while self.past[0][0] < now - 10:
-            self.past.popleft()
+        while self.history[0][0] < now - LOAD_HISTORY_SECONDS:
+            self.history.popleft()
 
-    def asked(self, then: float) -> float:
-        return next((own for at, own in self.past if at > then), self.own)
+    def own_at(self, then: float) -> float:
+        """The own load at an earlier time."""
+        return next((own for at, own in self.history if at > then), self.own)
 
-    def told(self, now: float, ratio: float, late: float) -> None:
-        # The word is about a moment ago: what was sent or ended here since then must not count twice.
-        self.rest, self.heard = ratio * self.size - self.asked(now - late), now
-        self.base = self.every.asked(now - late)
+    def on_report(self, now: float, ratio: float, age: float) -> None:
+        """Takes a report of total load over capacity, `age` seconds old."""
+        # The report describes a moment ago: own load that was added or removed since must not count twice.
+        self.others, self.reported_at = ratio * self.capacity - self.own_at(now - age), now
+        self.base = self.all_links.own_at(now - age)
 
-    def others(self) -> float:
-        # A word ages fast in a burst: what own use changed since, beyond chance, is a sample of all others.
-        change = self.every.own - self.base
-        sure = change * max(0.0, 1 - (self.every.one / max(abs(change), 1e-9)) ** 0.5)
-        return max(0.0, self.rest / self.size + sure / self.every.size)
+    def others_utilization(self) -> float:
+        """The part of the capacity that the other controllers use."""
+        # A report ages fast in a burst: how the own load on all links has changed since, as far as that is
+        # more than chance, is a sample of how the load of all the others has changed.
+        change = self.all_links.own - self.base
+        certain = change * max(0.0, 1 - (self.all_links.last_change / max(abs(change), 1e-9)) ** 0.5)
+        return max(0.0, self.others / self.capacity + certain / self.all_links.capacity)
 
     def utilization(self, now: float, usual: float, more: float = 0.0) -> float:
-        old = min(1.0, (now - self.heard) / FADE)
-        return max(0.0, (self.own + more) / self.size + (1 - old) * self.others() + old * usual * self.filled)
+        """The used part of the capacity if `more` is added; an old report fades to the `usual` load."""
+        age = min(1.0, (now - self.reported_at) / REPORT_FADE_SECONDS)
+        return max(
+            0.0,
+            (self.own + more) / self.capacity
+            + (1 - age) * self.others_utilization()
+            + age * usual * self.filled,
+        )
 
 
 class Streamer:
-    def __init__(self, line: StreamerEntry, link: SharedLink, rack: SharedLink):
-        self.entry, self.link, self.rack = line, link, rack
+    """A streamer as this controller sees it."""
+
+    def __init__(self, entry: StreamerEntry, link: SharedLink, rack: SharedLink):
+        self.entry, self.link, self.rack = entry, link, rack
         self.share, self.set_aside_until, self.started, self.reported_since = 1.0, -1e9, -1e9, 1e18
-        self.slot, self.turn, self.phase = -1, -1, crc32(str(line.streamer).encode())
-        self.came, self.viewings, self.shown = -1e9, {}, Counter()
+        self.last_slot, self.own_slot, self.slot_phase = -1, -1, crc32(str(entry.streamer).encode())
+        self.listed_at, self.viewings, self.stream_counts = -1e9, {}, Counter()
 
 
 class PackageProfile:
+    """The terms of a package, with the rate of each rung and the value of each step between rungs."""
+
     def __init__(self, p: Package, ladder: tuple[float, ...], worths: tuple[float, ...], join_adds: float):
-        self.name, self.join, self.floor, self.top = p.name, p.join_target, p.floor, p.top
-        self.seats, self.repeat, self.group, self.window = p.seats, p.repeat, p.group, p.repeat_window
+        self.name, self.join_target, self.floor, self.top = p.name, p.join_target, p.floor, p.top
+        self.seats, self.repeat, self.group, self.repeat_window = p.seats, p.repeat, p.group, p.repeat_window
         self.rates = [kb * p.scale for kb in ladder]
-        self.adds = join_adds if p.live else 1.0
-        # Value for each kB a second that the step up to a rung brings: cheapest steps are cut first.
+        self.added_share = join_adds if p.live else 1.0
+        # Value for each kB a second that the step up to a rung adds: the cheapest steps are cut first.
         self.gain = [
-            max(p.value * (w - v), 1e-9) / max(kb - k, 1e-9)
-            for w, v, kb, k in zip(worths, (0.0, *worths), self.rates, (0.0, *self.rates), strict=False)
+            max(p.value * (worth - below), 1e-9) / max(kb - kb_below, 1e-9)
+            for worth, below, kb, kb_below in zip(
+                worths, (0.0, *worths), self.rates, (0.0, *self.rates), strict=False
+            )
         ]
 
 
 class Viewing:
-    def __init__(self, ask: ViewingRequest, package: PackageProfile, now: float):
-        self.id, self.ask, self.package, self.streamer, self.waits = ask.viewing, ask, package, None, None
-        self.until, self.aim = now + ask.time_left, now + min(package.join, ask.time_left)
-        self.top, self.rung, self.tries = min(ask.top, package.top), package.floor, 0
-        self.sent = self.stepped = self.hold = self.turn = now
-        self.playing = self.done = self.flood = self.apart = False
-        self.tried, self.ran, self.charged, self.short = set(), [], (), set()
+    """A viewing that waits for a streamer, is being set up, or plays.
+
+    `unsampled` marks one whose changes say nothing of the load of other controllers.
+    """
+
+    def __init__(self, request: ViewingRequest, package: PackageProfile, now: float):
+        self.id, self.request, self.package, self.streamer, self.probed = (
+            request.viewing,
+            request,
+            package,
+            None,
+            None,
+        )
+        self.deadline, self.join_deadline = (
+            now + request.time_left,
+            now + min(package.join_target, request.time_left),
+        )
+        self.top, self.rung, self.tries = min(request.top, package.top), package.floor, 0
+        self.sent_at = self.rung_set_at = self.hold_until = self.slot_due_at = now
+        self.playing = self.ending = self.is_flood = self.unsampled = False
+        self.tried, self.may_have_run, self.charged_budgets, self.short_budgets = set(), [], (), set()
 
 
 class ControllerState:
-    def __init__(self, seed: int, charter: DeploymentConfig):
-        c = charter
+    """Everything that the parts of one controller share.
+
+    `to_check` has the streamers with news of their load since the last look, `decisions` what the host has
+    yet to carry out, and `recheck` whether room may have appeared for the viewings that wait.
+    """
+
+    def __init__(self, seed: int, config: DeploymentConfig):
+        c = config
         self.seed, self.draws, self.rank, self.controllers = seed, 0, c.me, c.controllers
         self.packages = {p.name: PackageProfile(p, c.ladder, c.worths, c.join_adds) for p in c.packages}
-        self.zone, self.per_weight, self.places, self.warm_up = c.zone, c.link_per_weight, c.places, c.warm_up
-        self.racks = defaultdict(lambda: SharedLink(c.rack_link, self.every))
-        self.late, self.full_from, self.tune_ins = c.told_late, c.full_from, c.tune_ins
+        self.zone, self.link_per_weight, self.places, self.warm_up = (
+            c.zone,
+            c.link_per_weight,
+            c.places,
+            c.warm_up,
+        )
+        self.racks = defaultdict(lambda: SharedLink(c.rack_link, self.all_links))
+        self.report_age, self.full_from, self.tune_ins = c.told_late, c.full_from, c.tune_ins
         self.streamers, self.viewings, self.waiting, self.seated = {}, {}, {}, Counter()
-        self.usual_load, self.over, self.look, self.decisions, self.every = (
+        self.usual_load, self.to_check, self.recheck, self.decisions, self.all_links = (
             0.0,
             set(),
             False,
             deque(),
             SharedLink(1e18),
         )
-        # Requests of the last seconds; how often each holder_id was asked for, and (None) anything.
-        self.asks, self.named, self.cold_start = 0.0, Counter(), c.cold_start
+        # Requests of the last seconds; how often each holder was named in one, and (None) all requests.
+        self.recent_requests, self.named_holders, self.cold_start = 0.0, Counter(), c.cold_start
 
     def listed(self, now: float, kind: str, lines: tuple[StreamerEntry, ...]) -> None:
+        """Takes a streamer list; one that is not "changes" has all streamers, and the others have left."""
         for line in lines:
             if line.streamer not in self.streamers and line.status is not StreamerStatus.LEFT:
-                link = SharedLink(self.per_weight * line.weight, self.every)
+                link = SharedLink(self.link_per_weight * line.weight, self.all_links)
                 self.streamers[line.streamer] = Streamer(line, link, self.racks[line.rack])
-            if st := self.streamers.get(line.streamer):
-                if line.started is not None and line.started > st.started:
-                    st.started, st.share = line.started, 1.0
-                st.came, st.entry = now, line
+            if streamer := self.streamers.get(line.streamer):
+                if line.started is not None and line.started > streamer.started:
+                    streamer.started, streamer.share = line.started, 1.0
+                streamer.listed_at, streamer.entry = now, line
         named = self.streamers.keys() if kind == "changes" else {line.streamer for line in lines}
-        for sid in self.streamers.keys() - named:
-            self.streamers[sid].entry = self.streamers[sid].entry._replace(status=StreamerStatus.LEFT)
-        # Words on a streamer can trail its last viewing, but not by this long.
-        for sid, st in list(self.streamers.items()):
-            gone = st.entry.status is StreamerStatus.LEFT and not st.viewings
-            if gone and now - max(st.link.heard, st.came) > FORGET:
-                del self.streamers[sid]
-        self.look = True
-
-    def share_told(self, now: float, streamer: int, share: float) -> None:
-        st = self.streamers[streamer]
-        st.share = min(1.0, share)
-        if share < SILENT:
-            # No shortage but a streamer gone silent or cut off: taken as load, it made every link look full.
-            return self.set_aside(now, st, True)
-        # Either the link or the rack's uplink is short: the fuller by estimate.
-        pipe = max(st.link, st.rack, key=lambda pipe: pipe.utilization(now, self.usual_load))
-        pipe.told(now, 1 / max(share, 0.1), self.late)
-        self.over.add(streamer)
-
-    def loaded(self, now: float, st: Streamer, load: LoadReport | None) -> None:
+        for name in self.streamers.keys() - named:
+            self.streamers[name].entry = self.streamers[name].entry._replace(status=StreamerStatus.LEFT)
+        # Reports of a streamer can arrive after its last viewing ended, but not this much later.
+        for name, streamer in list(self.streamers.items()):
+            gone = streamer.entry.status is StreamerStatus.LEFT and not streamer.viewings
+            if gone and now - max(streamer.link.reported_at, streamer.listed_at) > FORGET_SECONDS:
+                del self.streamers[name]
+        self.recheck = True
+
+    def share_told(self, now: float, streamer_id: int, share: float) -> None:
+        """Takes the share of the demand that a streamer delivers, 0 to 1."""
+        streamer = self.streamers[streamer_id]
+        streamer.share = min(1.0, share)
+        if share < SILENT_SHARE:
+            # This is no overload: the streamer is silent or cut off. Counted as load, it made every link
+            # look full.
+            return self.set_aside(now, streamer, True)
+        # Either the link or the rack's uplink is overloaded: probably the fuller one.
+        link = max(streamer.link, streamer.rack, key=lambda link: link.utilization(now, self.usual_load))
+        link.on_report(now, 1 / max(share, 0.1), self.report_age)
+        self.to_check.add(streamer_id)
+
+    def on_load_report(self, now: float, streamer: Streamer, load: LoadReport | None) -> None:
+        """Takes the load report in a streamer's answer."""
         load = load or LoadReport()
         if (ratio := load.link) is None and load.link_capped is not None:
-            # A capped figure hides how much more is asked; the share that is delivered shows it.
-            ratio = load.link_capped if load.link_capped < 0.99 else 1 / max(st.share, 0.1)
-        for pipe, told in ((st.link, ratio), (st.rack, load.rack)):
-            if told is not None:
-                pipe.told(now, told, 0.3)
-        self.over.add(st.entry.streamer)
-
-    def set_aside(self, now: float, st: Streamer, lost: bool) -> None:
-        # One failure is enough: sound streamers hardly ever fail, and those that do seldom stop at one.
-        if now >= st.set_aside_until:
-            st.set_aside_until = now + AWAY * (1 + self.random_fraction() / 2)
+            # A capped figure hides by how much the link is overloaded; the delivered share shows it.
+            ratio = load.link_capped if load.link_capped < 0.99 else 1 / max(streamer.share, 0.1)
+        for link, reported in ((streamer.link, ratio), (streamer.rack, load.rack)):
+            if reported is not None:
+                link.on_report(now, reported, ANSWER_REPORT_AGE_SECONDS)
+        self.to_check.add(streamer.entry.streamer)
+
+    def set_aside(self, now: float, streamer: Streamer, lost: bool) -> None:
+        """Gives a failing streamer no viewings for a while; `lost` if its process may have ended."""
+        # One failure is enough: healthy streamers hardly ever fail, and failing ones seldom fail only once.
+        if now >= streamer.set_aside_until:
+            streamer.set_aside_until = now + SET_ASIDE_SECONDS * (1 + self.random_fraction() / 2)
             if lost:
-                # It may come back cold before the list says so.
-                st.started = max(st.started, st.set_aside_until)
+                # It may be cold when it returns, before the list says so.
+                streamer.started = max(streamer.started, streamer.set_aside_until)
 
     def tick(self, now: float) -> None:
-        """How large and full links are where nothing is heard, and what others usually ask of one."""
-        self.asks, known = 0.6 * self.asks, self.streamers.values()
-        self.named = Counter({name: 0.99 * times for name, times in self.named.items() if times > 0.01})
-        for st in known:
-            # Taken for as full as all others, one that has just started would stay empty when needed most.
-            st.link.filled = min(1.0, max(0.0, (now - (st.entry.started or -1e9)) / self.warm_up))
-            warmth = self.cold_start + (1 - self.cold_start) * max(0.0, now - st.started) / self.warm_up
-            st.link.size = self.per_weight * st.entry.weight * min(1.0, warmth)
-            st.reported_since = min(st.reported_since, now) if now - st.link.heard < FADE else 1e18
-        for i, rack in self.racks.items():
-            rack.filled = fmean([st.link.filled for st in known if st.entry.rack == i] or [1])
-        live = [st for st in known if st.entry.status is StreamerStatus.ACTIVE]
-        # One controller's part of all links: what it asks in all of this, others ask of each on the mean.
-        self.every.size = (sum(st.link.size for st in live) or 1.0) / max(self.controllers - 1, 1e-9)
-        own = sum(st.link.own for st in live) / self.every.size
-        fresh = [st.link.others() for st in live if now - st.link.heard < FADE]
-        # The median: one failing streamer's word must not make every other link look full, not even alone.
-        self.usual_load = median_low(fresh if len(fresh) > 2 else [*fresh, own])
-
-    def set_rung(self, now: float, vw: Viewing, rung: int) -> None:
-        self.ask(now, vw, -1)
-        vw.rung = rung
-        self.ask(now, vw, 1)
-
-    def put(self, now: float, vw: Viewing, st: Streamer) -> None:
-        vw.streamer = st
-        st.viewings[vw.id] = vw
-        self.seated[vw.package.name, vw.ask.title] += 1
-        self.ask(now, vw, 1)
-
-    def drop(self, now: float, vw: Viewing) -> None:
-        self.ask(now, vw, -1)
-        del vw.streamer.viewings[vw.id]
-        self.seated[seat := (vw.package.name, vw.ask.title)] -= 1
+        """Updates the capacities of links, how full unreported links are, and the usual load of others."""
+        self.recent_requests, streamers = 0.6 * self.recent_requests, self.streamers.values()
+        self.named_holders = Counter(
+            {name: 0.99 * times for name, times in self.named_holders.items() if times > 0.01}
+        )
+        for streamer in streamers:
+            # Assumed as full as all others, a streamer that has just started would stay empty when it is
+            # needed most.
+            streamer.link.filled = min(1.0, max(0.0, (now - (streamer.entry.started or -1e9)) / self.warm_up))
+            warmth = self.cold_start + (1 - self.cold_start) * max(0.0, now - streamer.started) / self.warm_up
+            streamer.link.capacity = self.link_per_weight * streamer.entry.weight * min(1.0, warmth)
+            streamer.reported_since = (
+                min(streamer.reported_since, now)
+                if now - streamer.link.reported_at < REPORT_FADE_SECONDS
+                else 1e18
+            )
+        for name, rack in self.racks.items():
+            rack.filled = fmean([st.link.filled for st in streamers if st.entry.rack == name] or [1])
+        active = [st for st in streamers if st.entry.status is StreamerStatus.ACTIVE]
+        # One controller's part of all links: the part of it that this controller uses is what the others use
+        # of each link on average.
+        self.all_links.capacity = (sum(st.link.capacity for st in active) or 1.0) / max(
+            self.controllers - 1, 1e-9
+        )
+        own = sum(st.link.own for st in active) / self.all_links.capacity
+        reported = [
+            st.link.others_utilization() for st in active if now - st.link.reported_at < REPORT_FADE_SECONDS
+        ]
+        # The median: the report of one failing streamer must not make every other link look full, not even
+        # if it is the only report.
+        self.usual_load = median_low(reported if len(reported) > 2 else [*reported, own])
+
+    def set_rung(self, now: float, viewing: Viewing, rung: int) -> None:
+        """Moves the load of a viewing to another rung."""
+        self.change_load(now, viewing, -1)
+        viewing.rung = rung
+        self.change_load(now, viewing, 1)
+
+    def assign(self, now: float, viewing: Viewing, streamer: Streamer) -> None:
+        """Puts a viewing on a streamer."""
+        viewing.streamer = streamer
+        streamer.viewings[viewing.id] = viewing
+        self.seated[viewing.package.name, viewing.request.title] += 1
+        self.change_load(now, viewing, 1)
+
+    def release(self, now: float, viewing: Viewing) -> None:
+        """Takes a viewing off its streamer."""
+        self.change_load(now, viewing, -1)
+        del viewing.streamer.viewings[viewing.id]
+        self.seated[seat := (viewing.package.name, viewing.request.title)] -= 1
         if not self.seated[seat]:
             del self.seated[seat]
-        vw.streamer = None
-
-    def ask(self, now: float, vw: Viewing, sign: int) -> None:
-        # Viewers of one live title at one rung share a stream: each further one adds only a part.
-        st, key = vw.streamer, (vw.ask.title, vw.package.name, vw.rung)
-        st.shown[key] += sign
-        kb = sign * vw.package.rates[vw.rung] * (vw.package.adds if st.shown[key] + (sign < 0) > 1 else 1.0)
-        if not st.shown[key]:
-            del st.shown[key]
-        self.every.one = abs(kb)
-        for pipe in (st.link, st.rack, self.every)[: 3 - vw.apart]:
-            pipe.add(now, kb)
-
-    def utilization(self, now: float, st: Streamer, more: float = 0.0) -> float:
+        viewing.streamer = None
+
+    def change_load(self, now: float, viewing: Viewing, sign: int) -> None:
+        """Adds (`sign` 1) or removes (-1) the load of a viewing."""
+        # Viewers of one live title at one rung share a stream: each further one adds only a part of its rate.
+        streamer, key = viewing.streamer, (viewing.request.title, viewing.package.name, viewing.rung)
+        streamer.stream_counts[key] += sign
+        kb = (
+            sign
+            * viewing.package.rates[viewing.rung]
+            * (viewing.package.added_share if streamer.stream_counts[key] + (sign < 0) > 1 else 1.0)
+        )
+        if not streamer.stream_counts[key]:
+            del streamer.stream_counts[key]
+        self.all_links.last_change = abs(kb)
+        for link in (streamer.link, streamer.rack, self.all_links)[: 3 - viewing.unsampled]:
+            link.add(now, kb)
+
+    def utilization(self, now: float, streamer: Streamer, more: float = 0.0) -> float:
+        """The used part of a streamer's link or of its rack's uplink, whichever is fuller."""
         return max(
-            st.link.utilization(now, self.usual_load, more), st.rack.utilization(now, self.usual_load, more)
+            streamer.link.utilization(now, self.usual_load, more),
+            streamer.rack.utilization(now, self.usual_load, more),
         )
 
     def random_fraction(self) -> float:
+        """The next number of this controller's random sequence, from 0 up to 1."""
         self.draws += 1
         return crc32(b"%d:%d" % (self.seed, self.draws)) / 2**32
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -349,7 +349,7 @@
     for st in range(10, 13):
         c.load_told(0.0, st, False, 0, 0.5)
         c.streamers[st].link.add(0.0, -1e-12)  # as sums of parts that came and went may end
-    c.state.every.add(0.0, -1e-12)
+    c.state.all_links.add(0.0, -1e-12)
     pull_decisions(c, 0.6)
     c.asked(0.7, viewing_request(10, title=10))
     (sent,) = [d for d in pull_decisions(c, 0.7) if d[0] == "tune_in"]
