--- a/herongap/host/__init__.py
+++ b/herongap/host/__init__.py
@@ -1,7 +1,7 @@
 """The library: one controller hosted, without sockets, clock, greenlets or global state.
 
-`Host` takes inputs with their times, pulls the module's decisions until none is left, and lets them out
-through a `Port`. It owns the life of each viewing from its request to its one outcome and its end. A
+`Host` takes inputs with their times, takes decisions from the module until none is left, and carries them out
+through a `Port`. It keeps the state of each viewing from its request to its one answer and its end. A
 `Recorder` writes every input and decision; `replay` runs such a record through the library alone.
 """
 
--- a/herongap/host/host.py
+++ b/herongap/host/host.py
@@ -1,8 +1,8 @@
-"""The host of one deciding module: inputs with times in, effects out through a port.
+"""The host of one deciding module: inputs with their times in, effects out through a port.
 
-Each input is noted, told to the module, and followed by all decisions that come of it. Time-outs belong to
-the host, so that they fall at the time of an input and are the same in a replay; whatever is due by the time
-of an input comes before it.
+Each input is recorded and passed to the module, and all decisions that follow from it are carried out. The
+host keeps the time-outs, so that each takes effect at the time of an input and a replay repeats it: whatever
+is due by the time of an input comes before that input.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,27 +23,27 @@
 from herongap.rules import Controller
 
 COUNTS = ("asked", "plays", "blocked", "aborted", "gone", "tune_ins", "late", "adopted")
-TEAR_DOWN = 2.0  # seconds that a streamer has to confirm a teardown before the viewing counts as gone anyway
+TEAR_DOWN_SECONDS = 2.0  # time to confirm a teardown; after it the viewing counts as ended anyway
 
 
 class WrongInput(Misuse):
-    """An input that the host cannot take as things stand, or a decision that it does not know."""
+    """An input that the host cannot take in its present state, or a decision that it does not know."""
 
-    advice = "a fault of ours: keep the record, and tell the maintainers"
+    advice = "internal error: keep the record and report it to the maintainers"
 
 
 class Host:
-    """One controller: its module, the viewings it answers for, and their due times.
+    """One controller: its deciding module, the viewings that it is responsible for, and their time-outs.
 
-    `seed` and `charter` are the module's. `make` builds the deciding module from (now, seed, charter);
-    baselines and broken controllers of the tests put others in its place.
+    `make` builds the module from (now, seed, config); baselines, and tests with broken controllers, replace
+    it.
     """
 
     def __init__(
         self,
         now: float,
         seed: int,
-        charter: DeploymentConfig,
+        config: DeploymentConfig,
         port: Port,
         recorder: Recorder | None = None,
         make: Callable = Controller,
@@ -55,14 +55,14 @@
         self._due: list[tuple] = []
         self._armed = float("inf")
         if recorder:
-            recorder.start(now, seed, charter)
-        self.module = make(now, seed, charter)
+            recorder.start(now, seed, config)
+        self.module = make(now, seed, config)
         self._pump(now)
 
-    # Inputs: what the world did. Each is one line of the record.
+    # Inputs. Each is one line of the record, under the name of its method.
 
     def listed(self, now: float, kind: str, lines: Iterable[StreamerEntry]) -> None:
-        """A list of streamers, `kind` "changes", "whole", "remembered" or (without lines) "failed"."""
+        """A streamer list; `kind` is "changes", "whole", "remembered" or (without lines) "failed"."""
         lines = tuple(lines)
         self._enter(now, "listed", kind, lines)
         if kind in ("whole", "remembered"):
@@ -70,134 +70,134 @@
         for line in lines:
             self.statuses[line.streamer] = line.status
             if kind == "changes" and line.status is StreamerStatus.LEFT:
-                del self.statuses[line.streamer]  # each deploy brings new names: they would pile up
+                del self.statuses[line.streamer]  # each deployment brings new names: they would pile up
         self.module.listed(now, kind, lines)
         self._pump(now)
 
-    def asked(self, now: float, ask: ViewingRequest) -> HostedViewing:
-        """A viewer wants a viewing, and will wait `ask.time_left` seconds; `Port.answer` follows once."""
-        self._enter(now, "asked", ask)
-        if ask.viewing in self.viewings:
-            raise WrongInput(f"viewing {ask.viewing} is held already")
-        life = self.viewings[ask.viewing] = HostedViewing(ask, now)
+    def asked(self, now: float, request: ViewingRequest) -> HostedViewing:
+        """A viewer requests a viewing and waits `request.time_left` seconds; `Port.answer` follows once."""
+        self._enter(now, "asked", request)
+        if request.viewing in self.viewings:
+            raise WrongInput(f"viewing {request.viewing} is held already")
+        hosted = self.viewings[request.viewing] = HostedViewing(request, now)
         self.counts["asked"] += 1
-        self.module.asked(now, ask)
+        self.module.asked(now, request)
         self._pump(now)
-        return life
+        return hosted
 
     def started(self, now: float, viewing: Id, number: int, streamer: Id, load: LoadReport | None) -> bool:
-        """A streamer started a tune-in; False where that came too late, and it is torn down there."""
+        """A streamer started a viewing; False if that is too late, and the viewing is torn down there."""
         self._enter(now, "started", viewing, number, streamer, load)
-        life = self._current(viewing, number, ViewingState.PENDING)
-        if life is None:
-            # Its time-out, its viewer's leaving or its patience came first. Left alone it would hold a place
-            # and play to nobody beside the tune-in that followed it.
+        hosted = self._current(viewing, number, ViewingState.PENDING)
+        if hosted is None:
+            # The tune-in timed out, its viewer left, or its deadline passed. Left running, the viewing would
+            # hold a place and play to nobody, beside the tune-in that followed.
             self.counts["late"] += 1
             self.port.tear_down(viewing, number, streamer, False)
             self._pump(now)
             return False
-        life.transition_to(ViewingState.PLAYING)
-        self.module.started(now, viewing, number, streamer, now - life.sent_at)
-        self._loaded(now, viewing, streamer, load)
-        self._conclude(viewing, life, Answer("plays"))
+        hosted.transition_to(ViewingState.PLAYING)
+        self.module.started(now, viewing, number, streamer, now - hosted.sent_at)
+        self._report_load(now, viewing, streamer, load)
+        self._answer(viewing, hosted, Answer("plays"))
         self._pump(now)
         return True
 
-    def adopted(self, now: float, ask: ViewingRequest, number: int, streamer: Id, rung: int) -> bool:
-        """A viewing of this controller's earlier process plays on: it is held and controlled again.
+    def adopted(self, now: float, request: ViewingRequest, number: int, streamer: Id, rung: int) -> bool:
+        """A viewing of an earlier process of this controller still plays: it is held and controlled again.
 
-        Its answer was given then; `number` is that of the tune-in that plays. False, and it is torn down
-        there, where the streamer is not on the list: nothing could be decided about it.
+        Its answer was given then; `number` is that of the tune-in that plays. False if its streamer is not on
+        the list: nothing could be decided about it, so it is torn down.
         """
-        self._enter(now, "adopted", ask, number, streamer, rung)
-        if ask.viewing in self.viewings:
-            raise WrongInput(f"viewing {ask.viewing} is held already")
+        self._enter(now, "adopted", request, number, streamer, rung)
+        if request.viewing in self.viewings:
+            raise WrongInput(f"viewing {request.viewing} is held already")
         if streamer not in self.module.streamers:
-            self.port.tear_down(ask.viewing, number, streamer, False)
+            self.port.tear_down(request.viewing, number, streamer, False)
             self._pump(now)
             return False
-        self.viewings[ask.viewing] = HostedViewing.adopted(ask, now, number, streamer, rung)
+        self.viewings[request.viewing] = HostedViewing.adopted(request, now, number, streamer, rung)
         self.counts["adopted"] += 1
-        self.module.handed(now, ask, streamer)
-        self.module.rung_told(now, ask.viewing, rung)
+        self.module.handed(now, request, streamer)
+        self.module.rung_told(now, request.viewing, rung)
         self._pump(now)
         return True
 
     def ended(
-        self, now: float, viewing: Id, number: int, how: EndReason, load: LoadReport | None = None
+        self, now: float, viewing: Id, number: int, reason: EndReason, load: LoadReport | None = None
     ) -> None:
-        """A tune-in that was out, or the viewing that it started, ended; what is over already is passed
-        over.
-        """
-        self._enter(now, "ended", viewing, number, how, load)
-        if life := self._current(
+        """A pending tune-in, or the viewing that it started, ended; ignored if it has ended already."""
+        self._enter(now, "ended", viewing, number, reason, load)
+        if hosted := self._current(
             viewing, number, ViewingState.PENDING, ViewingState.PLAYING, ViewingState.CLOSING
         ):
-            self._end(now, viewing, life, how, load)
+            self._end(now, viewing, hosted, reason, load)
         self._pump(now)
 
     def left(self, now: float, viewing: Id) -> None:
-        """The viewer went, or ended the viewing; what is over already is passed over."""
+        """The viewer left or ended the viewing; ignored if it has ended already."""
         self._enter(now, "left", viewing)
-        life = self.viewings.get(viewing)
-        if life and life.state is ViewingState.WAITING:
+        hosted = self.viewings.get(viewing)
+        if hosted and hosted.state is ViewingState.WAITING:
             self.module.left(now, viewing)
-            self._finish(viewing, life, Answer("gone", cause=life.cause))
-        elif life and life.state is ViewingState.PENDING:
+            self._finish(viewing, hosted, Answer("gone", cause=hosted.cause))
+        elif hosted and hosted.state is ViewingState.PENDING:
             self.module.left(now, viewing)
-            self.port.call_off(viewing, life.number, life.streamer)
-            self._tell_end(now, viewing, life, EndReason.CALLED_OFF, True, None)
-            self._finish(viewing, life, Answer("gone", cause=life.cause))
-        elif life and life.state is ViewingState.PLAYING:
-            self._close(now, viewing, life)
+            self.port.call_off(viewing, hosted.number, hosted.streamer)
+            self._report_end(now, viewing, hosted, EndReason.CALLED_OFF, True, None)
+            self._finish(viewing, hosted, Answer("gone", cause=hosted.cause))
+        elif hosted and hosted.state is ViewingState.PLAYING:
+            self._close(now, viewing, hosted)
         self._pump(now)
 
     def torn_down(self, now: float, viewing: Id, number: int) -> None:
-        """A streamer confirmed a teardown that was asked of it."""
+        """A streamer confirmed a teardown that was requested."""
         self._enter(now, "torn_down", viewing, number)
-        if life := self._current(viewing, number, ViewingState.CLOSING):
-            self._end(now, viewing, life, EndReason.PLAYED, None)
+        if hosted := self._current(viewing, number, ViewingState.CLOSING):
+            self._end(now, viewing, hosted, EndReason.PLAYED, None)
         self._pump(now)
 
     def share_told(self, now: float, streamer: Id, share: float) -> None:
-        """A streamer delivers this share of what is asked of it, 0 to 1."""
+        """A streamer delivers this share of the demand, 0 to 1."""
         self._enter(now, "share_told", streamer, share)
         if streamer in self.module.streamers:
             self.module.share_told(now, streamer, share)
         self._pump(now)
 
     def rung_told(self, now: float, viewing: Id, rung: int) -> None:
-        """A streamer told the rung at which it plays a viewing; one that is not held is passed over."""
+        """A streamer reports the rung at which it plays a viewing; ignored if the viewing is not held."""
         self._enter(now, "rung_told", viewing, rung)
-        if life := self.viewings.get(viewing):
-            life.rung = rung
+        if hosted := self.viewings.get(viewing):
+            hosted.rung = rung
             self.module.rung_told(now, viewing, rung)
         self._pump(now)
 
     def load_told(self, now: float, streamer: Id, uplink: bool, viewing: Id | None, ratio: float) -> None:
-        """A streamer told what is asked of its link (or its rack's uplink) over what that gives."""
+        """A streamer reports demand over capacity of its link, or of its rack's uplink."""
         self._enter(now, "load_told", streamer, uplink, viewing, ratio)
         if streamer in self.module.streamers:
             self.module.load_told(now, streamer, uplink, viewing, ratio)
         self._pump(now)
 
-    def probed(self, now: float, streamer: Id, how: EndReason, taken: float, load: LoadReport | None) -> None:
-        """What came of a probe, PLAYED where it was answered."""
-        self._enter(now, "probed", streamer, how, taken, load)
+    def probed(
+        self, now: float, streamer: Id, reason: EndReason, taken: float, load: LoadReport | None
+    ) -> None:
+        """The result of a probe, PLAYED if it was answered."""
+        self._enter(now, "probed", streamer, reason, taken, load)
         if streamer in self.module.streamers:
-            self.module.probed(now, streamer, how, taken, load)
+            self.module.probed(now, streamer, reason, taken, load)
         self._pump(now)
 
     def counted(self, now: float, rank: int | None, controllers: int) -> None:
-        """How many controllers live, and which of them (from 0) this one is; None while that is in doubt."""
+        """The number of live controllers and the rank of this one, from 0; None while that is uncertain."""
         self._enter(now, "counted", rank, controllers)
         self.module.counted(now, rank, controllers)
         self._pump(now)
 
-    def given(self, now: float, whole: str, room: int) -> None:
-        """How many more may be begun here that count for a whole; below 0: so many that play must end."""
-        self._enter(now, "given", whole, room)
-        self.module.given(now, whole, room)
+    def given(self, now: float, budget: str, room: int) -> None:
+        """How many more may be begun here that count towards a fleet budget; below 0, so many must end."""
+        self._enter(now, "given", budget, room)
+        self.module.given(now, budget, room)
         self._pump(now)
 
     def heard(self, now: float, peer: int, words: bytes) -> None:
@@ -207,32 +207,32 @@
         self._pump(now)
 
     def woke(self, now: float) -> None:
-        """The time of a `wake` has come."""
+        """The time of a `wake` decision has come."""
         self._enter(now, "woke")
         self._pump(now)
 
-    # Questions: they change nothing and are in no record.
+    # Queries. They change nothing and are not recorded.
 
     def sendable(self, viewing: Id, number: int, now: float, ranked: bool = True) -> bool:
-        """Whether a tune-in may still leave, asked just before it does.
+        """Whether a tune-in may still be sent; call it just before sending.
 
-        Between the decision and the moment its connection stands, its streamer's drain may have been heard,
-        its viewer may have left, or its time may be up. The process may have been stopped: `ranked` says
-        whether what `counted` told last still holds.
+        Between the decision and the moment when a connection is open, the streamer may have begun to drain,
+        the viewer may have left, or the time-out may have passed. The process may have been paused: `ranked`
+        says whether the rank that `counted` reported last is still valid.
         """
-        life = self._current(viewing, number, ViewingState.PENDING)
-        sound = life is not None and self.statuses.get(life.streamer) is StreamerStatus.ACTIVE
-        return sound and self.module.may_still_send(now, viewing, ranked)
+        hosted = self._current(viewing, number, ViewingState.PENDING)
+        valid = hosted is not None and self.statuses.get(hosted.streamer) is StreamerStatus.ACTIVE
+        return valid and self.module.may_still_send(now, viewing, ranked)
 
     def playing_at(self, streamer: Id) -> list[tuple[Id, int]]:
-        """The viewings playing at a streamer, with the numbers of their tune-ins."""
+        """The viewings that play at a streamer, with the numbers of their tune-ins."""
         return [
-            (vw, life.number)
-            for vw, life in self.viewings.items()
-            if life.streamer == streamer and life.state is ViewingState.PLAYING
+            (viewing, hosted.number)
+            for viewing, hosted in self.viewings.items()
+            if hosted.streamer == streamer and hosted.state is ViewingState.PLAYING
         ]
 
-    # Inside.
+    # Internals.
 
     def _enter(self, now: float, name: str, *args) -> None:
         if self.recorder:
@@ -244,11 +244,11 @@
             _, what, viewing, number = heappop(self._due)
             if what == "wake":
                 self.module.woke(now)
-            elif what == "time_out" and (life := self._current(viewing, number, ViewingState.PENDING)):
-                self.port.call_off(viewing, number, life.streamer)
-                self._end(now, viewing, life, EndReason.TIMED_OUT, None)
-            elif what == "torn_down" and (life := self._current(viewing, number, ViewingState.CLOSING)):
-                self._end(now, viewing, life, EndReason.PLAYED, None)
+            elif what == "time_out" and (hosted := self._current(viewing, number, ViewingState.PENDING)):
+                self.port.call_off(viewing, number, hosted.streamer)
+                self._end(now, viewing, hosted, EndReason.TIMED_OUT, None)
+            elif what == "torn_down" and (hosted := self._current(viewing, number, ViewingState.CLOSING)):
+                self._end(now, viewing, hosted, EndReason.PLAYED, None)
             self._pull(now)
 
     def _pump(self, now: float) -> None:
@@ -269,35 +269,35 @@
             case "wake", (at,):
                 heappush(self._due, (at, "wake", "", 0))
             case "tune_in", (viewing, streamer, time_out):
-                life = self.viewings[viewing]
-                life.transition_to(ViewingState.PENDING)
-                life.tune_ins += 1
-                life.streamer, life.sent_at = streamer, now
+                hosted = self.viewings[viewing]
+                hosted.transition_to(ViewingState.PENDING)
+                hosted.tune_ins += 1
+                hosted.streamer, hosted.sent_at = streamer, now
                 self.counts["tune_ins"] += 1
-                heappush(self._due, (now + time_out, "time_out", viewing, life.number))
-                self.port.tune_in(life.request, life.number, streamer, life.rung, time_out)
+                heappush(self._due, (now + time_out, "time_out", viewing, hosted.number))
+                self.port.tune_in(hosted.request, hosted.number, streamer, hosted.rung, time_out)
             case "rung", (viewing, rung):
-                life = self.viewings[viewing]
-                life.rung = rung
-                if life.state is ViewingState.PLAYING:
-                    self.port.set_rung(viewing, life.number, life.streamer, rung)
+                hosted = self.viewings[viewing]
+                hosted.rung = rung
+                if hosted.state is ViewingState.PLAYING:
+                    self.port.set_rung(viewing, hosted.number, hosted.streamer, rung)
             case "block", (viewing, come_back):
-                life = self.viewings[viewing]
-                self._finish(viewing, life, Answer("blocked", come_back, life.cause))
+                hosted = self.viewings[viewing]
+                self._finish(viewing, hosted, Answer("blocked", come_back, hosted.cause))
             case "abort", (viewing,):
-                life = self.viewings[viewing]
-                self._finish(viewing, life, Answer("aborted", cause=life.cause))
+                hosted = self.viewings[viewing]
+                self._finish(viewing, hosted, Answer("aborted", cause=hosted.cause))
             case "call_off", (viewing, number):
-                if life := self._current(viewing, number, ViewingState.PENDING):
-                    self.port.call_off(viewing, number, life.streamer)
-                    self._end(now, viewing, life, EndReason.CALLED_OFF, None)
+                if hosted := self._current(viewing, number, ViewingState.PENDING):
+                    self.port.call_off(viewing, number, hosted.streamer)
+                    self._end(now, viewing, hosted, EndReason.CALLED_OFF, None)
             case "move", (viewing,):
-                if life := self._current(viewing, self.viewings[viewing].number, ViewingState.PLAYING):
-                    self._close(now, viewing, life)
-            case "charge", (viewing, wholes):
-                self.viewings[viewing].charged_budgets = wholes
-            case "short", (whole,):
-                self.port.request_budget(whole)
+                if hosted := self._current(viewing, self.viewings[viewing].number, ViewingState.PLAYING):
+                    self._close(now, viewing, hosted)
+            case "charge", (viewing, budgets):
+                self.viewings[viewing].charged_budgets = budgets
+            case "short", (budget,):
+                self.port.request_budget(budget)
             case "probe", (streamer,):
                 self.port.probe(streamer)
             case "follow", ():
@@ -305,55 +305,57 @@
             case "tell", (peer, words):
                 self.port.send_to_peer(peer, words)
             case _:
-                raise WrongInput(f"the module decided {verb!r}, which no host knows")
+                raise WrongInput(f"unknown decision {verb!r} of the module")
 
     def _current(self, viewing: Id, number: int, *states: ViewingState) -> HostedViewing | None:
-        life = self.viewings.get(viewing)
-        return life if life and life.number == number and life.state in states else None
+        hosted = self.viewings.get(viewing)
+        return hosted if hosted and hosted.number == number and hosted.state in states else None
 
-    def _close(self, now: float, viewing: Id, life: HostedViewing) -> None:
-        # The seat is free when the streamer has let go, not before: told sooner, the module could put another
-        # viewing on that seat while the streamer still plays the first.
-        life.transition_to(ViewingState.CLOSING)
-        heappush(self._due, (now + TEAR_DOWN, "torn_down", viewing, life.number))
-        self.port.tear_down(viewing, life.number, life.streamer, True)
+    def _close(self, now: float, viewing: Id, hosted: HostedViewing) -> None:
+        # The seat is free only when the streamer has stopped the viewing. If the module was notified sooner,
+        # it could put another viewing on that seat while the streamer still plays the first.
+        hosted.transition_to(ViewingState.CLOSING)
+        heappush(self._due, (now + TEAR_DOWN_SECONDS, "torn_down", viewing, hosted.number))
+        self.port.tear_down(viewing, hosted.number, hosted.streamer, True)
 
     def _end(
-        self, now: float, viewing: Id, life: HostedViewing, how: EndReason, load: LoadReport | None
+        self, now: float, viewing: Id, hosted: HostedViewing, reason: EndReason, load: LoadReport | None
     ) -> None:
-        played = life.state is not ViewingState.PENDING
-        self._tell_end(now, viewing, life, how, played, load)
+        played = hosted.state is not ViewingState.PENDING
+        self._report_end(now, viewing, hosted, reason, played, load)
         if not played:
-            life.transition_to(ViewingState.WAITING)
+            hosted.transition_to(ViewingState.WAITING)
             return
-        life.transition_to(ViewingState.ENDED)
+        hosted.transition_to(ViewingState.ENDED)
         del self.viewings[viewing]
-        self.port.viewing_ended(viewing, how)
+        self.port.viewing_ended(viewing, reason)
 
-    def _tell_end(
+    def _report_end(
         self,
         now: float,
         viewing: Id,
-        life: HostedViewing,
-        how: EndReason,
+        hosted: HostedViewing,
+        reason: EndReason,
         closed: bool,
         load: LoadReport | None,
     ) -> None:
-        life.cause = how
-        if life.streamer in self.module.streamers:
-            self.module.ended(now, viewing, life.number, life.streamer, how, now - life.sent_at, closed, load)
+        hosted.cause = reason
+        if hosted.streamer in self.module.streamers:
+            self.module.ended(
+                now, viewing, hosted.number, hosted.streamer, reason, now - hosted.sent_at, closed, load
+            )
 
-    def _loaded(self, now: float, viewing: Id, streamer: Id, load: LoadReport | None) -> None:
+    def _report_load(self, now: float, viewing: Id, streamer: Id, load: LoadReport | None) -> None:
         for uplink, ratio in ((False, load and load.link), (True, load and load.rack)):
             if ratio is not None:
                 self.module.load_told(now, streamer, uplink, viewing, ratio)
 
-    def _conclude(self, viewing: Id, life: HostedViewing, answer: Answer) -> None:
-        life.record_answer(answer)
+    def _answer(self, viewing: Id, hosted: HostedViewing, answer: Answer) -> None:
+        hosted.record_answer(answer)
         self.counts[answer.verdict] += 1
         self.port.answer(viewing, answer)
 
-    def _finish(self, viewing: Id, life: HostedViewing, answer: Answer) -> None:
-        life.transition_to(ViewingState.ENDED)
+    def _finish(self, viewing: Id, hosted: HostedViewing, answer: Answer) -> None:
+        hosted.transition_to(ViewingState.ENDED)
         del self.viewings[viewing]
-        self._conclude(viewing, life, answer)
+        self._answer(viewing, hosted, answer)
--- a/herongap/host/port.py
+++ b/herongap/host/port.py
@@ -1,4 +1,4 @@
-"""What a host can do to the world. A daemon, the model and tests each bring one."""
+"""The effects of a controller. The daemon, the node, the fleet model and the tests each implement a port."""
 
 from typing import Protocol
 
@@ -11,14 +11,13 @@
 class Port(Protocol):
     """Effects of one controller.
 
-    No method may call the host back before it returns: what comes of an effect is an input of its own, later.
+    No method may call the host back before it returns: the result of an effect is a later input of its own.
     """
 
-    def tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
-        """Ask the streamer to start the viewing on that rung. The host itself ends it after `time_out`
-        seconds.
+    def tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
+        """Ask the streamer to start the viewing on that rung. The host cancels it after `time_out` s.
 
-        Just before the request leaves, `Host.sendable` tells whether it still may.
+        `Host.sendable` says just before the request is sent whether it still may be.
         """
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
@@ -28,25 +27,25 @@
         """Set the rung of a playing viewing."""
 
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
-        """Stop a viewing at its streamer; `Host.torn_down` is called when it is done, if that is `wanted`."""
+        """Stop a viewing at its streamer, and call `Host.torn_down` once it is done if `wanted`."""
 
     def answer(self, viewing: Id, answer: Answer) -> None:
         """Give the viewer the one answer to its request."""
 
-    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
-        """A viewing that played has ended: its viewer's resource goes."""
+    def viewing_ended(self, viewing: Id, reason: EndReason) -> None:
+        """Remove the viewer's resource: a viewing that played has ended."""
 
     def probe(self, streamer: Id) -> None:
-        """Ask a streamer for its load; `Host.probed` is called with what came of it."""
+        """Request the load of a streamer, and call `Host.probed` with the result."""
 
     def follow(self) -> None:
-        """Follow the list of streamers from now on."""
+        """Follow the streamer list from now on."""
 
     def send_to_peer(self, peer: int, words: bytes) -> None:
         """Send a short message to another controller, -1 for all."""
 
-    def request_budget(self, whole: str) -> None:
-        """More of a whole that is divided among the controllers is wanted here."""
+    def request_budget(self, budget: str) -> None:
+        """Request a larger part of a fleet budget for this controller."""
 
     def wake(self, at: float) -> None:
-        """Call `Host.woke` at that time, or at any time before and again then."""
+        """Call `Host.woke` at that time. An earlier call is allowed if another one follows at that time."""
--- a/herongap/host/record.py
+++ b/herongap/host/record.py
@@ -4,7 +4,8 @@
     [12.5, "asked", [...]]                                                an input: time, name, arguments
     ["tune_in", "v1", "s3", 0.36]                                         a decision that followed it
 
-Times are the host's. A record whose end was cut off (a killed process, a full disk) is read up to there.
+Times are those of the host's clock. A record that was cut off (process killed, disk full) is read up to the
+cut.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -17,7 +18,7 @@
 
 VERSION = 1
 Id = int | str
-# What each input takes after the time; the order is that of Host's methods.
+# The arguments of each input after the time, in the order of Host's methods.
 INPUTS: dict[str, tuple] = {
     "listed": (str, tuple[StreamerEntry, ...]),
     "asked": (ViewingRequest,),
@@ -38,9 +39,9 @@
 
 
 class RecordError(Unusable):
-    """A record that cannot be read; the line is counted from 1."""
+    """A record that cannot be read; line numbers begin at 1."""
 
-    advice = "the lines before it are sound: cut the file there"
+    advice = "the lines before it are valid: truncate the file there"
 
 
 class Start(NamedTuple):
@@ -52,7 +53,7 @@
 
 
 class Input(NamedTuple):
-    """An input and the decisions that followed it; `line` is where it stands in the record."""
+    """An input and the decisions that followed it; `line` is its line number in the record."""
 
     line: int
     now: float
@@ -62,36 +63,39 @@
 
 
 class Recorder:
-    """Writes a record through `write`, which takes the bytes of whole lines."""
+    """Writes a record through `write`, which is called with the bytes of one line."""
 
     def __init__(self, write: Callable[[bytes], object]):
         self._write, self._encode = write, msgspec.json.Encoder(enc_hook=list).encode
 
-    def start(self, now: float, seed: int, charter: DeploymentConfig) -> None:
-        head = {"herongap_record": VERSION, "now": now, "seed": seed, "charter": charter}
-        self._write(self._encode(head) + b"\n")
+    def start(self, now: float, seed: int, config: DeploymentConfig) -> None:
+        """Write the first line."""
+        header = {"herongap_record": VERSION, "now": now, "seed": seed, "charter": config}
+        self._write(self._encode(header) + b"\n")
 
     def input(self, now: float, name: str, args: tuple) -> None:
+        """Write an input."""
         self._write(self._encode((now, name, args)) + b"\n")
 
     def decision(self, decision: tuple) -> None:
+        """Write a decision, after the input that it followed."""
         self._write(self._encode(decision) + b"\n")
 
 
 def read_record(lines: Iterable[bytes]) -> tuple[Start, Iterator[Input]]:
     """The start of a record and its inputs, each with its decisions.
 
-    Raises RecordError for anything but a last line cut short. Decisions before the first input come with an
-    input named "start".
+    Raises RecordError for anything unreadable but a last line that was cut off. Decisions before the first
+    input belong to an input named "start".
     """
     numbered = enumerate(lines, 1)
     try:
-        head = msgspec.json.decode(next(numbered)[1])
-        if head.get("herongap_record") != VERSION:
-            raise RecordError(f"line 1: not a record of version {VERSION}: {head.get('herongap_record')!r}")
-        start = Start(head["now"], head["seed"], msgspec.convert(head["charter"], DeploymentConfig))
-    except (StopIteration, msgspec.MsgspecError, KeyError, AttributeError) as fault:
-        raise RecordError(f"line 1: no record begins here ({fault!r})") from fault
+        header = msgspec.json.decode(next(numbered)[1])
+        if header.get("herongap_record") != VERSION:
+            raise RecordError(f"line 1: not a record of version {VERSION}: {header.get('herongap_record')!r}")
+        start = Start(header["now"], header["seed"], msgspec.convert(header["charter"], DeploymentConfig))
+    except (StopIteration, msgspec.MsgspecError, KeyError, AttributeError) as error:
+        raise RecordError(f"line 1: not the first line of a record ({error!r})") from error
     return start, _inputs(numbered, start.now)
 
 
@@ -99,7 +103,7 @@
     current = Input(1, now, "start", (), [])
     for number, line in numbered:
         if not line.endswith(b"\n"):
-            break  # cut short: the last thing written before the process ended
+            break  # cut off: the last line written before the process ended
         try:
             value = msgspec.json.decode(line)
             if isinstance(value[0], str):
@@ -110,8 +114,8 @@
             if len(types) != len(args):
                 raise RecordError(f"{name} takes {len(types)} arguments")
             args = tuple(msgspec.convert(arg, kind) for arg, kind in zip(args, types, strict=True))
-        except (msgspec.MsgspecError, KeyError, ValueError, TypeError, IndexError) as fault:
-            raise RecordError(f"line {number}: {fault!r}") from fault
+        except (msgspec.MsgspecError, KeyError, ValueError, TypeError, IndexError) as error:
+            raise RecordError(f"line {number}: {error!r}") from error
         yield current
         current = Input(number, at, name, args, [])
     yield current
--- a/herongap/host/repeats.py
+++ b/herongap/host/repeats.py
@@ -1,8 +1,8 @@
-"""Whether a request that looks like an earlier one is the same viewing, and what it gets.
+"""Detects repeated requests: whether a request is for a viewing that exists already, and what it gets.
 
-A viewer that repeats its POST after a time-out must not be set up twice. The sameness is told by an
-`Idempotency-Key` (draft-ietf-httpapi-idempotency-key-header) where one is sent, else by the offer's own
-identity, of which `herongap.sdp` says what it is made.
+A viewer that repeats its POST after a time-out must not be set up twice. Requests are matched by an
+`Idempotency-Key` (draft-ietf-httpapi-idempotency-key-header) if one is sent, otherwise by the identity of the
+offer, which `herongap.sdp` defines.
 """
 
 from collections import OrderedDict
@@ -12,16 +12,19 @@
 
 
 class RepeatMatch(Enum):
-    """What a request is, beside the viewings already known."""
+    """How a request relates to the known viewings."""
 
-    NEW = 1  # no viewing, or one that was turned away: its viewer comes again
-    JOIN = 2  # its viewing is being set up, or plays: it gets that viewing's one answer
-    ENDED = 3  # its viewing played and has ended: a copy that was late on its way starts nothing
+    NEW = 1  # no viewing, or one that was rejected and whose viewer retries
+    JOIN = 2  # its viewing is being set up or plays: it gets the one answer of that viewing
+    ENDED = 3  # its viewing played and has ended: a delayed copy of the request starts nothing
     CONFLICT = 4  # the key was used for another offer
 
 
 class RepeatDetector:
-    """The identities of viewings that are held, and for `remember` seconds of those that played and ended."""
+    """The identities of held viewings, and for `remember` seconds those of viewings that played and ended.
+
+    At most `most` ended viewings are remembered.
+    """
 
     def __init__(self, remember: float, most: int):
         self.remember, self.most = remember, most
@@ -30,21 +33,21 @@
         self.ended: OrderedDict[tuple, float] = OrderedDict()
 
     def match(self, now: float, key: tuple, offer: str) -> tuple[RepeatMatch, Id | None]:
-        """What a request with this key and this offer is, and the viewing it belongs to."""
+        """How a request with this key and offer relates to the known viewings, and the viewing it joins."""
         while self.ended and (len(self.ended) > self.most or next(iter(self.ended.values())) <= now):
             self.ended.popitem(last=False)
         if held := self.held.get(key):
-            viewing, first = held
-            return (RepeatMatch.JOIN, viewing) if first == offer else (RepeatMatch.CONFLICT, None)
+            viewing, first_offer = held
+            return (RepeatMatch.JOIN, viewing) if first_offer == offer else (RepeatMatch.CONFLICT, None)
         return (RepeatMatch.ENDED, None) if key in self.ended else (RepeatMatch.NEW, None)
 
     def add(self, key: tuple, offer: str, viewing: Id) -> None:
-        """A viewing was taken for this key."""
+        """Notes the viewing that was taken on for a key."""
         self.held[key] = viewing, offer
         self.keys[viewing] = key
 
     def remove(self, now: float, viewing: Id, played: bool) -> None:
-        """A viewing is over. One that never played frees its key at once: a blocked viewer may come again."""
+        """Notes the end of a viewing. If it never played its key is free at once, as its viewer may retry."""
         if (key := self.keys.pop(viewing, None)) is None:
             return
         del self.held[key]
--- a/herongap/host/viewing.py
+++ b/herongap/host/viewing.py
@@ -1,4 +1,4 @@
-"""The life of one viewing: what it is waiting for, and which changes are possible."""
+"""The states of one viewing, from its request to its end, and the transitions between them."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -8,22 +8,22 @@
 
 
 class InvalidTransition(Misuse):
-    """A step of a viewing that its state does not allow."""
+    """A change of a viewing that its state does not allow."""
 
-    advice = "a fault of ours: keep the record, and tell the maintainers"
+    advice = "internal error: keep the record and report it to the maintainers"
 
 
 class ViewingState(Enum):
-    """Where a viewing is; it only ever moves as `MOVES` says."""
+    """The state of a viewing; it changes only as `TRANSITIONS` allows."""
 
-    WAITING = "waiting"  # taken, no tune-in out
-    PENDING = "out"  # one tune-in out at a streamer
-    PLAYING = "playing"  # the streamer plays it, its viewer has been told
-    CLOSING = "closing"  # its streamer is being told to stop; seat and load count until it has answered
+    WAITING = "waiting"  # no tune-in is in flight
+    PENDING = "out"  # one tune-in is in flight at a streamer
+    PLAYING = "playing"  # the streamer plays it, and its viewer has been notified
+    CLOSING = "closing"  # its streamer was asked to stop it; seat and load count until it confirms
     ENDED = "over"
 
 
-MOVES = {
+TRANSITIONS = {
     ViewingState.WAITING: {ViewingState.PENDING, ViewingState.ENDED},
     ViewingState.PENDING: {ViewingState.WAITING, ViewingState.PLAYING, ViewingState.ENDED},
     ViewingState.PLAYING: {ViewingState.CLOSING, ViewingState.ENDED},
@@ -35,8 +35,9 @@
 class Answer(NamedTuple):
     """The one answer to a request for a viewing.
 
-    `verdict` is "plays", "blocked", "aborted" or "gone" (its viewer left before there was one). `come_back`
-    is in seconds, 0 for no advice. `cause` is how the last tune-in ended, None where there was none.
+    `verdict` is "plays", "blocked", "aborted" or "gone" (the viewer left before there was an answer).
+    `come_back` is the advised time until a retry in seconds, 0 for no advice. `cause` is how the last tune-in
+    ended, None if there was none.
     """
 
     verdict: str
@@ -45,7 +46,7 @@
 
 
 class HostedViewing:
-    """One viewing: the request, its state, its tune-ins, numbered from 0, and the wholes they count for."""
+    """One viewing: its request and state, its tune-ins numbered from 0, and the budgets that they charge."""
 
     __slots__ = (
         "request",
@@ -61,35 +62,37 @@
         "charged_budgets",
     )
 
-    def __init__(self, ask: ViewingRequest, now: float):
-        self.request, self.requested_at, self.deadline = ask, now, now + ask.time_left
+    def __init__(self, request: ViewingRequest, now: float):
+        self.request, self.requested_at, self.deadline = request, now, now + request.time_left
         self.state, self.answer = ViewingState.WAITING, None
         self.tune_ins, self.streamer, self.sent_at = 0, None, now
         self.rung, self.cause, self.charged_budgets = 0, None, ()
 
     @classmethod
-    def adopted(cls, ask: ViewingRequest, now: float, number: int, streamer, rung: int) -> "HostedViewing":
-        """One that plays already, and whose viewer was told so by an earlier process."""
-        life = cls(ask, now)
-        life.state, life.answer = ViewingState.PLAYING, Answer("plays")
-        life.tune_ins, life.streamer, life.rung = number + 1, streamer, rung
-        return life
+    def adopted(
+        cls, request: ViewingRequest, now: float, number: int, streamer, rung: int
+    ) -> "HostedViewing":
+        """A viewing that plays already, and whose viewer was notified by an earlier process."""
+        viewing = cls(request, now)
+        viewing.state, viewing.answer = ViewingState.PLAYING, Answer("plays")
+        viewing.tune_ins, viewing.streamer, viewing.rung = number + 1, streamer, rung
+        return viewing
 
     @property
     def number(self) -> int:
-        """The number of the newest tune-in, -1 before the first."""
+        """The number of the latest tune-in, -1 before the first."""
         return self.tune_ins - 1
 
     def transition_to(self, state: ViewingState) -> None:
-        """Go to another state; a step that the rules forbid is a fault of the caller, never carried out."""
-        if state not in MOVES[self.state]:
+        """Change the state; raises InvalidTransition, without any change, if that is not allowed."""
+        if state not in TRANSITIONS[self.state]:
             raise InvalidTransition(
                 f"viewing {self.request.viewing}: {self.state.value} cannot become {state.value}"
             )
         self.state = state
 
     def record_answer(self, answer: Answer) -> None:
-        """Note the one answer; a second would break rule 1 and is refused here, whoever asks for it."""
+        """Record the one answer; raises InvalidTransition for a second one, which would break rule 1."""
         if self.answer is not None:
             raise InvalidTransition(
                 f"viewing {self.request.viewing} was answered {self.answer.verdict} already"
