--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small deployment for the tests, and a host that pulls decisions."""
+"""A small deployment for the tests, and helpers that build its inputs and take decisions."""
 
 import time
 
@@ -48,54 +48,56 @@
 
 
 def streamer_entry(
-    i: int, cell: int, standing=StreamerStatus.ACTIVE, started=None, zone="a", rack=None
+    i: int, cell: int, status=StreamerStatus.ACTIVE, started=None, zone="a", rack=None
 ) -> StreamerEntry:
-    return StreamerEntry(
-        i, zone, "std", cell, cell, cell % 2 if rack is None else rack, standing, 1.0, started
-    )
+    return StreamerEntry(i, zone, "std", cell, cell, cell % 2 if rack is None else rack, status, 1.0, started)
 
 
-def controller(
-    terms: DeploymentConfig | None = None, now: float = 0.0, seed: int = 7, cells: int = 3, racks: int = 2
+def make_controller(
+    config: DeploymentConfig | None = None, now: float = 0.0, seed: int = 7, cells: int = 3, racks: int = 2
 ) -> Controller:
-    terms = terms or deployment_config()
-    c = Controller(now, seed, terms)
-    c.listed(now, "remembered", tuple(streamer_entry(10 + i, i, rack=i % racks) for i in range(cells)))
-    return c
+    """A controller with streamers 10, 11, ..., each in a cell of its own."""
+    config = config or deployment_config()
+    controller = Controller(now, seed, config)
+    controller.listed(
+        now, "remembered", tuple(streamer_entry(10 + i, i, rack=i % racks) for i in range(cells))
+    )
+    return controller
 
 
 def viewing_request(
-    i: int, top: int = 2, package: str = "news", title: int = 1, holders: int = 3, left: float = 4.0
+    i: int, top: int = 2, package: str = "news", title: int = 1, holders: int = 3, time_left: float = 4.0
 ) -> ViewingRequest:
-    return ViewingRequest(i, i, package, None, title, range(holders), top, left, None, False, False)
+    return ViewingRequest(i, i, package, None, title, range(holders), top, time_left, None, False, False)
 
 
-def pull_decisions(c: Controller, now: float) -> list[tuple]:
-    out = []
-    while (decision := c.decide(now)) is not None:
-        out.append(decision)
-    return out
+def pull_decisions(controller: Controller, now: float) -> list[tuple]:
+    """All decisions that the controller takes now."""
+    decisions = []
+    while (decision := controller.decide(now)) is not None:
+        decisions.append(decision)
+    return decisions
 
 
-def report_idle_links(c: Controller, since: float, until: float) -> None:
-    """Word of an idle link from every streamer, each second: none of them can have started unnoticed."""
+def report_idle_links(controller: Controller, since: float, until: float) -> None:
+    """Reports an idle link of every streamer each second, so that none can have started unnoticed."""
     for second in range(int(since), int(until)):
-        for st in list(c.streamers):
-            c.load_told(float(second), st, False, None, 0.0)
-        pull_decisions(c, float(second))
+        for streamer in list(controller.streamers):
+            controller.load_told(float(second), streamer, False, None, 0.0)
+        pull_decisions(controller, float(second))
 
 
 def until(true, seconds: float = 8.0, look: float = 0.005) -> float:
-    """Wait for what will come, however slow the machine is, and fail if it does not; seconds that it took."""
+    """Waits until a condition is true and returns the seconds that it took; fails after `seconds`."""
     began = time.monotonic()
     while not true():
-        assert time.monotonic() < began + seconds, "it never came"
+        assert time.monotonic() < began + seconds, "the condition never became true"
         gevent.sleep(look)
     return time.monotonic() - began
 
 
 def closing(kind, *args):
-    """For a fixture: yields a function that makes a `kind`, and closes all that it made at the end."""
+    """For a fixture: yields a function that makes a `kind`; everything that it made is closed at the end."""
     made = []
 
     def make(**more):
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 from click.testing import CliRunner
-from helpers import controller, deployment_config, pull_decisions, viewing_request
+from helpers import deployment_config, make_controller, pull_decisions, viewing_request
 from loopback import INI
 from test_etcd import PREFIX, cluster
 from test_host import Port
@@ -92,7 +92,7 @@
 
 
 def divided_among(*wholes, **rooms):
-    c = controller(deployment_config(wholes=wholes))
+    c = make_controller(deployment_config(wholes=wholes))
     for name, room in rooms.items():
         c.given(0.0, name, room)
     return c
@@ -181,7 +181,7 @@
 def test_a_host_keeps_what_a_tune_in_counts_for_and_moves_no_viewing_that_is_going():
     port = Port()
     host = Host(0.0, 7, deployment_config(wholes=(FleetBudget("all", BudgetScope.VIEWINGS),)), port)
-    host.listed(0.0, "whole", [st.entry for st in controller().streamers.values()])
+    host.listed(0.0, "whole", [st.entry for st in make_controller().streamers.values()])
     host.given(0.0, "all", 1)
     host.asked(1.0, viewing_request(1))
     assert host.viewings[1].charged_budgets == ("all",)
