--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -14,7 +14,7 @@
 from loopback import INI
 from test_etcd import PREFIX, cluster
 from test_host import Port
-from test_parts import site
+from test_parts import parse_site
 
 from herongap.accord import Division, Kind, Part, Shares, Tally, Terms
 from herongap.accord.ledger import write
@@ -54,7 +54,7 @@
 
 
 def test_budgets_of_a_file_become_wholes_of_the_charter_and_terms_of_shares(tmp_path):
-    made = site(tmp_path, divided_ini())
+    made = parse_site(tmp_path, divided_ini())
     assert made.charter.wholes == (
         FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
         FleetBudget("further", BudgetScope.FURTHER),
@@ -85,7 +85,7 @@
     text = divided_ini()
     assert change[0] in text
     with pytest.raises(Faults, match=says):
-        site(tmp_path, text.replace(*change))
+        parse_site(tmp_path, text.replace(*change))
 
 
 # What the module decides.
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Files and their checks, what a front takes on, the liveness of a streamer, and the command line."""
+"""INI and JSON files and their checks, intake limits, liveness of a streamer, and the command line."""
 
 import itertools
 import json
@@ -31,16 +31,16 @@
 from herongap.standins.player import Player
 
 
-def site(tmp_path, text):
+def parse_site(tmp_path, text):
     (tmp_path / "x.ini").write_text(text)
     return read_site(tmp_path / "x.ini")
 
 
-def test_a_front_file_becomes_a_charter(tmp_path):
-    made = site(tmp_path, INI + "[budget]\nfree = 3\nshare = 0.1\nwindow = 5\n")
-    c = made.charter
-    assert c.ladder == (100.0, 300.0, 900.0) and c.places == {"std": 400} and c.extra_free == 3
-    assert {p.name: (p.floor, p.seats) for p in c.packages}["priority"] == (1, 2)
+def test_a_front_file_becomes_a_deployment_config(tmp_path):
+    made = parse_site(tmp_path, INI + "[budget]\nfree = 3\nshare = 0.1\nwindow = 5\n")
+    config = made.charter
+    assert config.ladder == (100.0, 300.0, 900.0) and config.places == {"std": 400} and config.extra_free == 3
+    assert {p.name: (p.floor, p.seats) for p in config.packages}["priority"] == (1, 2)
     assert made.defaults == {"whep": "standard", "whip": "publish"}
     assert made.streamers.list == str(tmp_path / "streamers.json") and made.front.record.startswith(
         str(tmp_path)
@@ -68,19 +68,19 @@
 def test_each_error_names_section_key_value_and_what_is_allowed(tmp_path, change, says):
     assert change[0] in INI
     with pytest.raises(Faults, match=says):
-        site(tmp_path, INI.replace(*change))
+        parse_site(tmp_path, INI.replace(*change))
 
 
-def test_all_errors_are_told_at_once(tmp_path):
+def test_all_errors_are_reported_at_once(tmp_path):
     with pytest.raises(Faults) as found:
-        site(
+        parse_site(
             tmp_path,
             INI.replace("linger = 0.3", "linger = x").replace("rack = 50000", "rack = y") + "[odd]\n",
         )
     assert len(str(found.value).splitlines()) == 3
 
 
-def test_a_list_is_taken_whole_or_not_at_all():
+def test_a_list_with_an_invalid_entry_is_rejected_as_a_whole():
     line = {"id": "s", "url": "http://127.0.0.1:80", "started": 100.0, "standing": "leaving", "rack": "r"}
     lines, addresses = read_list(json.dumps({"streamers": [line]}).encode(), epoch=-90.0)
     assert lines[0].status is StreamerStatus.LEAVING and lines[0].started == 10.0 and lines[0].rack == "r"
@@ -95,16 +95,16 @@
             read_list(json.dumps({"streamers": [line, bad]}).encode(), 0.0)
     with pytest.raises(ValueError, match="twice"):
         read_list(json.dumps({"streamers": [line, line]}).encode(), 0.0)
-    shelves = read_catalogue(b'{"titles": {"a": ["s"], "*": ["t"]}}')
-    assert shelves.holders("a") == ["s"] and shelves.holders("b") == ["t"]
+    catalogue = read_catalogue(b'{"titles": {"a": ["s"], "*": ["t"]}}')
+    assert catalogue.holders("a") == ["s"] and catalogue.holders("b") == ["t"]
     assert read_catalogue(b'{"titles": {}}').holders("b") is None
 
 
-def test_a_bad_file_leaves_the_last_good_one(tmp_path):
-    taken = []
+def test_an_unreadable_file_keeps_the_last_valid_content(tmp_path):
+    contents = []
 
     def changed(data):
-        taken.append(json.loads(data))
+        contents.append(json.loads(data))
 
     path = tmp_path / "f"
     path.write_text("[1]")
@@ -116,10 +116,10 @@
         watched.read()
     path.write_text("[1, 2, 3]")
     watched.read()
-    assert taken == [[1], [1, 2, 3]]
+    assert contents == [[1], [1, 2, 3]]
 
 
-def test_intake_bounds_connections_set_ups_pace_and_lag():
+def test_intake_limits_connections_set_ups_rate_and_lag():
     intake = Intake(
         Bounds(connections=3, connections_a_peer=2, setting_up=5, held=10, pace=10.0, burst=3.0, lag=0.5)
     )
@@ -129,7 +129,7 @@
     assert [intake.admit(0.0, "a", 0, 0) for _ in range(4)][:3] == [None] * 3
     kind, wait = intake.admit(0.0, "a", 0, 0)
     assert kind == "too-fast" and 0 < wait <= 0.1
-    assert intake.admit(0.0, "b", 0, 0) is None, "one peer's pace is no other's"
+    assert intake.admit(0.0, "b", 0, 0) is None, "the rate of one peer does not count for another"
     assert intake.admit(0.11, "a", 0, 0) is None
     assert intake.admit(9.0, "a", 5, 0)[0] == intake.admit(9.0, "a", 0, 10)[0] == "overloaded"
     for _ in range(20):
@@ -137,7 +137,7 @@
     assert intake.admit(9.0, "a", 0, 0)[0] == "overloaded"
     for _ in range(20):
         intake.lagged(0.0)
-    assert intake.admit(9.0, "a", 0, 0) is None, "calm again"
+    assert intake.admit(9.0, "a", 0, 0) is None, "the overload has ended"
     intake.stopping = True
     assert intake.admit(9.0, "a", 0, 0)[0] == "stopping"
     intake.stopping = False
@@ -146,19 +146,19 @@
     assert len(intake.buckets) == intake.PEERS
 
 
-def test_tests_that_are_paid_for_are_few_and_still_tell_of_an_end_in_time():
+def test_paid_tests_are_few_and_still_detect_an_end_in_time():
     liveness, tested = StreamerLiveness(0.0, *PAID_TEST_TIMES), []
     for quarter in range(1, 4 * 60):
         now = quarter / 4
         if now < 40 and quarter % 10 == 0:
-            liveness.on_data(now)  # notes of its own, each 2.5 s: no test is needed
+            liveness.on_data(now)  # its own notices, each 2.5 s: no test is needed
         if liveness.is_test_due(now):
             tested.append(now)
         if liveness.check(now) is Liveness.LOST:
             break
     assert len(tested) == 1 and tested[0] > 40
     assert now - 39.75 <= LOST_AFTER_SECONDS - 1.0, (
-        "it went just after its last note, and its end is told within 8 s"
+        "it ended just after its last notice, and that is detected within 8 s"
     )
     assert (
         liveness.silent_after < PAID_TEST_TIMES[0]
@@ -166,14 +166,14 @@
     )
 
 
-def test_a_streamer_is_tested_no_more_often_than_tells_in_time_that_it_is_silent():
+def test_a_streamer_is_tested_no_more_often_than_needed_to_detect_silence_in_time():
     liveness, tested = StreamerLiveness(0.0, TESTED_LOST_AFTER_SECONDS), []
     for quarter in range(1, 4 * 20):
         now = quarter / 4
         if liveness.is_test_due(now):
             tested.append(now)
         if now == 9.0:
-            liveness.on_data(now)  # an answer, after which it is silent for good
+            liveness.on_data(now)  # an answer, after which it stays silent
     gaps = [b - a for a, b in itertools.pairwise((0.0, *tested))]
     assert (
         max(gaps) <= SILENT_AFTER_SECONDS - 1.0 and min(gaps) > SILENT_AFTER_SECONDS / 2 and len(tested) >= 12
@@ -183,12 +183,12 @@
     )
 
 
-def test_the_pulse_of_a_streamer():
+def test_a_silent_streamer_is_lost_after_a_while_and_a_broken_stream_if_it_stays_broken():
     liveness = StreamerLiveness(0.0)
-    words = {half / 2: liveness.check(half / 2) for half in range(1, int(2 * LOST_AFTER_SECONDS) + 1)}
-    assert [at for at, word in words.items() if word is Liveness.SILENT][0] == SILENT_AFTER_SECONDS
-    assert [at for at, word in words.items() if word is Liveness.LOST] == [LOST_AFTER_SECONDS]
-    assert liveness.check(LOST_AFTER_SECONDS + 0.1) is Liveness.LOST, "asked again it says so again"
+    found = {half / 2: liveness.check(half / 2) for half in range(1, int(2 * LOST_AFTER_SECONDS) + 1)}
+    assert [at for at, status in found.items() if status is Liveness.SILENT][0] == SILENT_AFTER_SECONDS
+    assert [at for at, status in found.items() if status is Liveness.LOST] == [LOST_AFTER_SECONDS]
+    assert liveness.check(LOST_AFTER_SECONDS + 0.1) is Liveness.LOST, "a further check gives the same result"
     liveness.on_data(LOST_AFTER_SECONDS)
     assert liveness.check(LOST_AFTER_SECONDS) is Liveness.ALIVE
     assert not liveness.on_stream_broken(10.0, unknown=False) and not liveness.on_stream_broken(
@@ -198,24 +198,24 @@
         0.0
     ).on_stream_broken(0.0, unknown=True)
     liveness.on_data(12.0)
-    assert not liveness.on_stream_broken(12.0, unknown=False), "a stream that came back starts anew"
+    assert not liveness.on_stream_broken(12.0, unknown=False), "a stream that reopened starts anew"
 
 
-def test_who_was_stopped_takes_none_of_that_time_for_a_streamers_silence():
-    for silence in (0.0, 1.0, 2.0):  # before the stop
+def test_time_for_which_the_process_was_paused_does_not_count_as_silence():
+    for quiet in (0.0, 1.0, 2.0):  # before the pause
         liveness = StreamerLiveness(0.0)
-        assert all(liveness.check(at) is Liveness.ALIVE for at in (0.0, silence / 2, silence))
-        back = 60.0 + silence
+        assert all(liveness.check(at) is Liveness.ALIVE for at in (0.0, quiet / 2, quiet))
+        back = 60.0 + quiet
         assert liveness.check(back) is Liveness.ALIVE
-        # One that is dead is found out all the same, as late as if the clock had stood still meanwhile.
-        words = {half / 2: liveness.check(back + half / 2) for half in range(1, 20)}
-        assert [at for at, word in words.items() if word is Liveness.SILENT][
+        # A dead streamer is still detected, as late as if the clock had stood still during the pause.
+        seen = {half / 2: liveness.check(back + half / 2) for half in range(1, 20)}
+        assert [at for at, state in seen.items() if state is Liveness.SILENT][
             0
-        ] == SILENT_AFTER_SECONDS - silence
-        assert [at for at, word in words.items() if word is Liveness.LOST][0] == LOST_AFTER_SECONDS - silence
+        ] == SILENT_AFTER_SECONDS - quiet
+        assert [at for at, state in seen.items() if state is Liveness.LOST][0] == LOST_AFTER_SECONDS - quiet
 
 
-def test_a_streamers_links_lead_nowhere_else():
+def test_links_of_a_streamer_to_other_hosts_are_rejected():
     def remote(location, *links):
         return read_remote(
             "s", "/whep/1", Reply(201, (("Location", location), *(("Link", v) for v in links)), b"sdp")
@@ -276,7 +276,7 @@
 def test_a_second_signal_ends_at_once():
     process, address = demo("--streamers", "1")
     try:
-        # Its own stop waits for what is being set up; a second signal does not.
+        # An orderly stop waits for viewings that are being set up; a second signal does not.
         process.send_signal(signal.SIGINT)
         process.send_signal(signal.SIGTERM)
         assert process.wait(timeout=10) in (0, 1)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program, with faults between them: a whole is kept, a planted mistake found."""
+"""Several processes with faults between them: a fleet budget is kept, and a planted mistake is detected."""
 
 import sys
 from pathlib import Path
@@ -95,7 +95,8 @@
 """
 
 
-def played(folder, mistake=None):
+def play_day(folder, mistake=None):
+    """Plays the day; `mistake` names a class of test_accord that replaces the division of budgets."""
     (folder / "day.ini").write_text(DAY)
 
     class Processes(Actors):
@@ -107,12 +108,12 @@
 
 
 @pytest.mark.parametrize("mistake", [None, "ActsFirst"])
-def test_a_whole_holds_while_processes_and_the_way_to_the_store_fail(tmp_path, mistake):
-    outcome = played(tmp_path, mistake)
+def test_a_fleet_budget_is_kept_while_processes_and_connections_to_the_store_fail(tmp_path, mistake):
+    outcome = play_day(tmp_path, mistake)
     found = check(outcome)
-    told = tally(Run(outcome))
-    assert told["pauses"] == 1 and told["kills"] == 1 and told["commits"] > 20, told
-    assert told["counted"]["held"] > 100 and told["counted"]["begun"] > 100, told
+    counts = tally(Run(outcome))
+    assert counts["pauses"] == 1 and counts["kills"] == 1 and counts["commits"] > 20, counts
+    assert counts["counted"]["held"] > 100 and counts["counted"]["begun"] > 100, counts
     if mistake:
         assert any(b.rule == 7 and "though its claim was over" in b.what for b in found), found[:3]
     else:
