--- a/herongap/rules/controller.py
+++ b/herongap/rules/controller.py
@@ -177,10 +177,10 @@
     def decide(self, now: float) -> tuple | None:
         """The next decision, None if there is none."""
         if not (decisions := self.state.decisions):
-            self.think(now)
+            self.process_due(now)
         return decisions.popleft() if decisions else None
 
-    def think(self, now: float) -> None:
+    def process_due(self, now: float) -> None:
         """Runs what is due, checks what has changed, and sets the next timer."""
         state, place = self.state, self.placement.place
         while self.due and self.due[0][0] <= now:
--- a/herongap/rules/placement.py
+++ b/herongap/rules/placement.py
@@ -176,7 +176,7 @@
             return False
         for rung in range(package.floor if viewing.is_flood else viewing.top, package.floor - 1, -1):
             more = package.rates[rung] * (
-                1 + self.rung_control.room(package, rung) if rung > package.floor else 1
+                1 + self.rung_control.margin(package, rung) if rung > package.floor else 1
             )
             room = [st for st in ready if state.utilization(now, st, more) <= MARK]
             if room:
--- a/herongap/rules/rung_control.py
+++ b/herongap/rules/rung_control.py
@@ -25,7 +25,7 @@
         gains = [v.package.gain[v.rung] for v in self.state.viewings.values() if v.playing]
         self.price = sum(gains) / len(gains) if gains else 0.0
 
-    def room(self, package: PackageProfile, rung: int) -> float:
+    def margin(self, package: PackageProfile, rung: int) -> float:
         """How many more times a rung must fit, as others may step up too; more for a cheaper last step."""
         # The others see the same room at the same time. How much they add unseen depends on the viewings
         # there, not on the number of controllers.
@@ -63,7 +63,7 @@
             for rung in range(viewing.top, viewing.rung, -1):
                 more = max(rates[rung] - rates[viewing.rung], 1e-9) / streamer.link.capacity
                 part = (MARK - use) / (more + max(0.0, use - own) * (rates[rung] / rates[viewing.rung] - 1))
-                if use + more * (1 + self.room(viewing.package, rung)) <= MARK and (
+                if use + more * (1 + self.margin(viewing.package, rung)) <= MARK and (
                     part >= 1 or (rung == viewing.rung + 1 and state.random_fraction() < part)
                 ):
                     self.step(now, viewing, rung)
--- a/herongap/rules/state.py
+++ b/herongap/rules/state.py
@@ -24,12 +24,15 @@
 class SharedLink:
     """A streamer's link or a rack's uplink: this controller's own load on it, and reports of the total.
 
-    `all_links` is the sum of all links; None for that sum itself.
+    `own` and `others` are loads in kB a second, the latter as of the last report. `all_links` is the sum of
+    all links, None for that sum itself, and `all_at_report` the own load on it at the time of the report.
+    `assumed_fill` is the part of the usual load that is assumed without a report. `cut_at` is the time of the
+    last cut.
     """
 
     def __init__(self, capacity: float, all_links: "SharedLink | None" = None):
         self.capacity, self.own, self.others, self.reported_at, self.cut_at = capacity, 0.0, 0.0, -1e9, -1e9
-        self.filled, self.all_links, self.base, self.last_change, self.history = (
+        self.assumed_fill, self.all_links, self.all_at_report, self.last_change, self.history = (
             1.0,
             all_links,
             0.0,
@@ -52,13 +55,13 @@
         """Takes a report of total load over capacity, `age` seconds old."""
         # The report describes a moment ago: own load that was added or removed since must not count twice.
         self.others, self.reported_at = ratio * self.capacity - self.own_at(now - age), now
-        self.base = self.all_links.own_at(now - age)
+        self.all_at_report = self.all_links.own_at(now - age)
 
     def others_utilization(self) -> float:
         """The part of the capacity that the other controllers use."""
         # A report ages fast in a burst: how the own load on all links has changed since, as far as that is
         # more than chance, is a sample of how the load of all the others has changed.
-        change = self.all_links.own - self.base
+        change = self.all_links.own - self.all_at_report
         certain = change * max(0.0, 1 - (self.all_links.last_change / max(abs(change), 1e-9)) ** 0.5)
         return max(0.0, self.others / self.capacity + certain / self.all_links.capacity)
 
@@ -69,12 +72,18 @@
             0.0,
             (self.own + more) / self.capacity
             + (1 - age) * self.others_utilization()
-            + age * usual * self.filled,
+            + age * usual * self.assumed_fill,
         )
 
 
 class Streamer:
-    """A streamer as this controller sees it."""
+    """A streamer as this controller sees it.
+
+    `share` is the part of the demand that it delivers. `started` is the latest time at which it may have
+    started, and `reported_since` the time since when it has reported its load without a long gap. `last_slot`
+    is the slot of the last tune-in, `own_slot` the one in which this controller may send while the streamer is
+    cold. `stream_counts` has the viewings that share a stream, by title, package and rung.
+    """
 
     def __init__(self, entry: StreamerEntry, link: SharedLink, rack: SharedLink):
         self.entry, self.link, self.rack = entry, link, rack
@@ -103,7 +112,10 @@
 class Viewing:
     """A viewing that waits for a streamer, is being set up, or plays.
 
-    `unsampled` marks one whose changes say nothing of the load of other controllers.
+    `tries` counts its tune-ins, `tried` has their streamers, and `may_have_run` zone, cell and time of those
+    that may have started it. `probed` is the streamer whose load it waits for. It waits for room until
+    `hold_until`, and for the slot of a cold streamer until `slot_due_at`. `unsampled` marks a viewing whose
+    changes say nothing of the load of other controllers.
     """
 
     def __init__(self, request: ViewingRequest, package: PackageProfile, now: float):
@@ -216,7 +228,9 @@
         for streamer in streamers:
             # Assumed as full as all others, a streamer that has just started would stay empty when it is
             # needed most.
-            streamer.link.filled = min(1.0, max(0.0, (now - (streamer.entry.started or -1e9)) / self.warm_up))
+            streamer.link.assumed_fill = min(
+                1.0, max(0.0, (now - (streamer.entry.started or -1e9)) / self.warm_up)
+            )
             warmth = self.cold_start + (1 - self.cold_start) * max(0.0, now - streamer.started) / self.warm_up
             streamer.link.capacity = self.link_per_weight * streamer.entry.weight * min(1.0, warmth)
             streamer.reported_since = (
@@ -225,7 +239,9 @@
                 else 1e18
             )
         for name, rack in self.racks.items():
-            rack.filled = fmean([st.link.filled for st in streamers if st.entry.rack == name] or [1])
+            rack.assumed_fill = fmean(
+                [st.link.assumed_fill for st in streamers if st.entry.rack == name] or [1]
+            )
         active = [st for st in streamers if st.entry.status is StreamerStatus.ACTIVE]
         # One controller's part of all links: the part of it that this controller uses is what the others use
         # of each link on average.
