--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -8,14 +8,14 @@
 
 from herongap.accord import Commit, Kind, Shares, Tally, Terms
 from herongap.etcd import messages as m
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 from herongap.ini.parts import WholeTerms
 
 LOOK = 0.05  # seconds between two looks at what is due; what is heard comes sooner
 log = structlog.get_logger()
 
 
-def terms(name: str, whole: WholeTerms) -> Terms:
+def budget_terms(name: str, whole: WholeTerms) -> Terms:
     """A budget as its section of the file states it."""
     w = whole
     keep = w.without_store == "keep"
@@ -39,15 +39,15 @@
         self.tally = Tally(self.shares)
         self.keys = {name: f"{prefix}budgets/{name}" for name in self.shares}
         self.nudge = Event()
-        self.unknown = 0  # commits without an answer so far
+        self.unknown_outcomes = 0  # commits without an answer so far
 
-    def heard(self, revision: int, items: Mapping[str, Item]) -> None:
+    def heard(self, revision: int, items: Mapping[str, KeyEntry]) -> None:
         """The list has got to a revision: each document as it is there."""
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
             bad = shares.bad
-            shares.shown(now, revision, item.mod if item else 0, item.value if item else None)
+            shares.shown(now, revision, item.mod_revision if item else 0, item.value if item else None)
             if shares.bad and shares.bad != bad:
                 log.error("budget not understood, nothing of it is used", budget=name, cause=shares.bad)
         self.nudge.set()
@@ -94,7 +94,7 @@
         self.nudge.set()
 
     @property
-    def left(self) -> bool:
+    def released(self) -> bool:
         """Whether nothing here is ours any more."""
         return all(s.division is None or s.me not in s.division.parts for s in self.shares.values())
 
@@ -119,18 +119,18 @@
         try:
             reply = self.swap(m.swap_body(self.keys[name], commit.base, commit.data))
         except self.faults as fault:
-            self.unknown += 1
+            self.unknown_outcomes += 1
             # Once for each commit: the same word a hundred times a second hides the others on the page.
             told = log.debug if shares.ledger.doubt else log.warning
             told("budget: outcome unknown, sent again", budget=name, cause=repr(fault))
             shares.unanswered(self.clock(), commit)
             return
         at = reply.header.revision
-        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.shown
+        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.conflict
         shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
         self.nudge.set()
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """Where each budget stands here, for operators."""
         now, told = self.clock(), {}
         for name, s in self.shares.items():
--- a/herongap/daemon/remembered.py
+++ b/herongap/daemon/list_cache.py
@@ -14,9 +14,9 @@
 import msgspec
 import structlog
 
-from herongap.daemon.aside import put_aside
+from herongap.daemon.quarantine import quarantine
 from herongap.errors import Unusable
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 
 FORMAT = 1
 MOST = 256 << 20  # bytes of the environment, of which a list of 10,000 streamers takes about 2 MB
@@ -27,7 +27,7 @@
 class Kept(msgspec.Struct, array_like=True):
     cluster: int
     revision: int
-    items: dict[str, Item]
+    items: dict[str, KeyEntry]
 
 
 class Unreadable(Unusable):
@@ -36,14 +36,14 @@
     advice = "remove the file; the list is read from the store"
 
 
-class Remembered:
+class ListCache:
     """The store at a path; a directory is made there."""
 
     def __init__(self, path: str):
         self.path = path
         self.env: lmdb.Environment | None = None
 
-    def load(self) -> tuple[int, int, dict[str, Item]] | None:
+    def load(self) -> tuple[int, int, dict[str, KeyEntry]] | None:
         """Cluster, revision and items as they were last saved; None where there are none."""
         try:
             self._open()
@@ -54,7 +54,7 @@
             self._put_aside(fault)
             return None
 
-    def save(self, cluster: int, revision: int, items: Mapping[str, Item]) -> bool:
+    def save(self, cluster: int, revision: int, items: Mapping[str, KeyEntry]) -> bool:
         """Keep a list; a full or broken disk is told and changes nothing else."""
         try:
             self._open()
@@ -77,7 +77,7 @@
             os.makedirs(self.path, exist_ok=True)
             self.env = lmdb.open(self.path, map_size=MOST, sync=False)
 
-    def _read(self, data: bytes) -> tuple[int, int, dict[str, Item]]:
+    def _read(self, data: bytes) -> tuple[int, int, dict[str, KeyEntry]]:
         try:
             number, check, body = data.split(b" ", 2)
             if int(number) != FORMAT:
@@ -92,7 +92,7 @@
     def _put_aside(self, fault: Exception) -> None:
         self.close()
         try:
-            aside = put_aside(self.path)
+            aside = quarantine(self.path)
         except OSError as worse:
             log.error("remembered list not read", path=self.path, cause=repr(fault), and_then=repr(worse))
             return
--- a/herongap/rules/state.py
+++ b/herongap/rules/state.py
@@ -81,8 +81,8 @@
 
     `share` is the part of the demand that it delivers. `started` is the latest time at which it may have
     started, and `reported_since` the time since when it has reported its load without a long gap. `last_slot`
-    is the slot of the last tune-in, `own_slot` the one in which this controller may send while the streamer is
-    cold. `stream_counts` has the viewings that share a stream, by title, package and rung.
+    is the slot of the last tune-in, `own_slot` the one in which this controller may send while it is cold.
+    `stream_counts` has the viewings that share a stream, by title, package and rung.
     """
 
     def __init__(self, entry: StreamerEntry, link: SharedLink, rack: SharedLink):
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -10,9 +10,9 @@
 import sdp_transform
 from gevent import socket
 
-from herongap.daemon.wire import Address, Call, call_once
-from herongap.http import FRAGMENT, SDP, Reply, kind_of
-from herongap.sdp import Endpoint, Fragment, offer
+from herongap.daemon.http_connection import Address, ClientConnection, request_once
+from herongap.http import ICE_FRAGMENT, SDP, Reply, problem_kind
+from herongap.sdp import Endpoint, Fragment, create_offer
 from herongap.sdp.fragment import write_fragment
 from herongap.standins import stun
 
@@ -52,7 +52,7 @@
         number = self.random.getrandbits(52)
         mark = ":".join(f"{self.random.getrandbits(8):02X}" for _ in range(32))
         self.me = Endpoint(f"v{number:x}", f"{number:x}".rjust(24, "p"), mark, "127.0.0.1", 9, number)
-        self.offer = offer(self.me, self.direction)
+        self.offer = create_offer(self.me, self.direction)
         # As herongap.sdp reads it from the offer: what joins the viewer's log to the streamers'.
         self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {mark}"
 
@@ -63,10 +63,10 @@
         self.log(self.name, "asked", **asked)
         status, kind, reply, call = 0, "", None, None
         try:
-            call = Call(self.front, 2.0)
+            call = ClientConnection(self.front, 2.0)
             call.send("POST", self.target, [("Content-Type", SDP), *self.headers], self.offer.encode())
             reply = call.receive(patience if hang_up is None else hang_up)
-            status, kind = reply.status, kind_of(reply.body)
+            status, kind = reply.status, problem_kind(reply.body)
         except TimeoutError:
             kind = "gave-up" if hang_up is None else "hung-up"
         except (OSError, h11.ProtocolError) as fault:
@@ -108,7 +108,7 @@
     def call(self, method: str, headers=(), body: bytes = b"", target: str | None = None) -> Reply:
         """Any other request to the front."""
         target = self.location if target is None else target
-        return call_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
+        return request_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
 
     def trickle(self, tag: str | None = None) -> Reply:
         fragment = Fragment(self.me.ufrag, self.me.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False)
@@ -123,7 +123,7 @@
         return reply
 
     def _patch(self, fragment: Fragment, tag: str) -> Reply:
-        headers = [("Content-Type", FRAGMENT), ("If-Match", tag)]
+        headers = [("Content-Type", ICE_FRAGMENT), ("If-Match", tag)]
         return self.call("PATCH", headers, write_fragment(fragment))
 
     def delete(self) -> int:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""INI and JSON files and their checks, intake limits, liveness of a streamer, and the command line."""
+"""INI and JSON files and their checks, overload guard, liveness of a streamer, and the command line."""
 
 import itertools
 import json
@@ -12,8 +12,8 @@
 from loopback import INI
 
 from herongap.cli import main
-from herongap.daemon.feed import Watched
-from herongap.daemon.session import read_remote
+from herongap.daemon.file_watcher import FileWatcher
+from herongap.daemon.session import read_remote_session
 from herongap.host.liveness import (
     LOST_AFTER_SECONDS,
     PAID_TEST_TIMES,
@@ -25,8 +25,8 @@
 )
 from herongap.http import Reply
 from herongap.ini import Faults, read_catalogue, read_list, read_site
-from herongap.intake import Bounds, Intake
 from herongap.interface import StreamerStatus
+from herongap.overload import OverloadGuard, ProcessLimits
 from herongap.standins import Viewer
 from herongap.standins.player import Player
 
@@ -108,7 +108,7 @@
 
     path = tmp_path / "f"
     path.write_text("[1]")
-    watched = Watched(str(path), changed, 1.0)
+    watched = FileWatcher(str(path), changed, 1.0)
     watched.read()
     watched.read()
     path.write_text("[1, 2")
@@ -119,31 +119,37 @@
     assert contents == [[1], [1, 2, 3]]
 
 
-def test_intake_limits_connections_set_ups_rate_and_lag():
-    intake = Intake(
-        Bounds(connections=3, connections_a_peer=2, setting_up=5, held=10, pace=10.0, burst=3.0, lag=0.5)
+def test_overload_guard_limits_connections_set_ups_rate_and_lag():
+    overload_guard = OverloadGuard(
+        ProcessLimits(
+            connections=3, connections_a_peer=2, setting_up=5, held=10, pace=10.0, burst=3.0, lag=0.5
+        )
+    )
+    assert [overload_guard.connect(p) for p in "aaabb"] == [True, True, False, True, False]
+    overload_guard.disconnect("a")
+    assert (
+        overload_guard.connect("b")
+        and overload_guard.open_connections == 3
+        and overload_guard.rejected["connection"] == 2
     )
-    assert [intake.connect(p) for p in "aaabb"] == [True, True, False, True, False]
-    intake.disconnect("a")
-    assert intake.connect("b") and intake.total == 3 and intake.turned_away["connection"] == 2
-    assert [intake.admit(0.0, "a", 0, 0) for _ in range(4)][:3] == [None] * 3
-    kind, wait = intake.admit(0.0, "a", 0, 0)
+    assert [overload_guard.admit(0.0, "a", 0, 0) for _ in range(4)][:3] == [None] * 3
+    kind, wait = overload_guard.admit(0.0, "a", 0, 0)
     assert kind == "too-fast" and 0 < wait <= 0.1
-    assert intake.admit(0.0, "b", 0, 0) is None, "the rate of one peer does not count for another"
-    assert intake.admit(0.11, "a", 0, 0) is None
-    assert intake.admit(9.0, "a", 5, 0)[0] == intake.admit(9.0, "a", 0, 10)[0] == "overloaded"
+    assert overload_guard.admit(0.0, "b", 0, 0) is None, "the rate of one peer does not count for another"
+    assert overload_guard.admit(0.11, "a", 0, 0) is None
+    assert overload_guard.admit(9.0, "a", 5, 0)[0] == overload_guard.admit(9.0, "a", 0, 10)[0] == "overloaded"
     for _ in range(20):
-        intake.lagged(2.0)
-    assert intake.admit(9.0, "a", 0, 0)[0] == "overloaded"
+        overload_guard.record_lag(2.0)
+    assert overload_guard.admit(9.0, "a", 0, 0)[0] == "overloaded"
     for _ in range(20):
-        intake.lagged(0.0)
-    assert intake.admit(9.0, "a", 0, 0) is None, "the overload has ended"
-    intake.stopping = True
-    assert intake.admit(9.0, "a", 0, 0)[0] == "stopping"
-    intake.stopping = False
-    for n in range(intake.PEERS + 50):
-        intake.admit(10.0, f"p{n}", 0, 0)
-    assert len(intake.buckets) == intake.PEERS
+        overload_guard.record_lag(0.0)
+    assert overload_guard.admit(9.0, "a", 0, 0) is None, "the overload has ended"
+    overload_guard.stopping = True
+    assert overload_guard.admit(9.0, "a", 0, 0)[0] == "stopping"
+    overload_guard.stopping = False
+    for n in range(overload_guard.MAX_TRACKED_PEERS + 50):
+        overload_guard.admit(10.0, f"p{n}", 0, 0)
+    assert len(overload_guard.token_buckets) == overload_guard.MAX_TRACKED_PEERS
 
 
 def test_paid_tests_are_few_and_still_detect_an_end_in_time():
@@ -217,7 +223,7 @@
 
 def test_links_of_a_streamer_to_other_hosts_are_rejected():
     def remote(location, *links):
-        return read_remote(
+        return read_remote_session(
             "s", "/whep/1", Reply(201, (("Location", location), *(("Link", v) for v in links)), b"sdp")
         )
 
