--- a/herongap/host/host.py
+++ b/herongap/host/host.py
@@ -200,10 +200,10 @@
         self.module.given(now, budget, room)
         self._pump(now)
 
-    def heard(self, now: float, peer: int, words: bytes) -> None:
+    def heard(self, now: float, peer: int, message: bytes) -> None:
         """A message of another controller."""
-        self._enter(now, "heard", peer, words)
-        self.module.heard(now, peer, words)
+        self._enter(now, "heard", peer, message)
+        self.module.heard(now, peer, message)
         self._pump(now)
 
     def woke(self, now: float) -> None:
@@ -302,8 +302,8 @@
                 self.port.probe(streamer)
             case "follow", ():
                 self.port.follow()
-            case "tell", (peer, words):
-                self.port.send_to_peer(peer, words)
+            case "tell", (peer, message):
+                self.port.send_to_peer(peer, message)
             case _:
                 raise WrongInput(f"unknown decision {verb!r} of the module")
 
--- a/herongap/host/liveness.py
+++ b/herongap/host/liveness.py
@@ -63,14 +63,14 @@
             self.broken_at = now
         return unknown or now - self.broken_at >= STREAM_GONE_AFTER_SECONDS
 
-    def is_gone_after_refusal(self, reset: bool, stands: bool) -> bool:
+    def is_gone_after_refusal(self, reset: bool, has_connection: bool) -> bool:
         """Whether a streamer that refused a connection is gone.
 
-        `reset` says that its last connection was reset, `stands` that another one is still open. A streamer
-        that drains refuses connections too, and plays on; one that dies resets its open connections. If none
-        was open, only its silence or the streamer list can tell.
+        `reset` says that its last connection was reset, `has_connection` that another one is still open. A
+        streamer that drains refuses connections too, and plays on; one that dies resets its open connections.
+        If none was open, only its silence or the streamer list can tell.
         """
-        return reset and not stands
+        return reset and not has_connection
 
     def is_test_due(self, now: float) -> bool:
         """Whether to test it now; called several times a second."""
--- a/herongap/host/port.py
+++ b/herongap/host/port.py
@@ -41,7 +41,7 @@
     def follow(self) -> None:
         """Follow the streamer list from now on."""
 
-    def send_to_peer(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, message: bytes) -> None:
         """Send a short message to another controller, -1 for all."""
 
     def request_budget(self, budget: str) -> None:
--- a/herongap/interface.py
+++ b/herongap/interface.py
@@ -15,9 +15,9 @@
     ("move", viewing)                          take a playing viewing off its streamer
     ("probe", streamer)                        request the load of a streamer
     ("follow",)                                subscribe to the streamer list
-    ("tell", peer, words)                      send a short message to one controller, -1 for all
-    ("charge", viewing, wholes)                names of the fleet budgets that its next tune-ins count towards
-    ("short", whole)                           request a larger part of a fleet budget for this controller
+    ("tell", peer, message)                    send a short message to one controller, -1 for all
+    ("charge", viewing, budgets)               names of the fleet budgets that its next tune-ins count towards
+    ("short", budget)                          request a larger part of a fleet budget for this controller
     ("wake", at)                               call woke() at that time
 """
 
--- a/herongap/rules/controller.py
+++ b/herongap/rules/controller.py
@@ -152,7 +152,7 @@
         self.unplaced += [viewing for viewing in self.waiting.values() if viewing.probed == streamer_id]
         self.state.recheck = True
 
-    def heard(self, now: float, peer: int, words: bytes) -> None:
+    def heard(self, now: float, peer: int, message: bytes) -> None:
         """A message of another controller: ignored, as the demand of others helped too little."""
 
     def counted(self, now: float, rank: int | None, controllers: int) -> None:
--- a/herongap/rules/placement.py
+++ b/herongap/rules/placement.py
@@ -1,7 +1,7 @@
 """Placement: which streamer a waiting viewing goes to, on which rung, and when it is given up.
 
-A table holds the mean quality that the recent viewings of this controller got: a row per package, a cell per
-streamer.
+A table, taken from the paper behind this design, holds the mean quality that the recent viewings of this
+controller got: a row per package, a cell per streamer.
 """
 
 from collections import defaultdict
@@ -44,8 +44,9 @@
         Round robin for cells with few viewings, and for a share of all set-ups.
         """
         state, name = self.state, viewing.package.name
-        # With few viewings in all, no cell has enough of them: then the average of the zone counts, as
-        # k-nearest-neighbours takes neighbours at a greater distance, and only rows that can fill are seeded.
+        # With few viewings in all, no cell has enough of them: then the average of the zone counts, as the
+        # k-nearest-neighbours search of the paper behind this design takes neighbours at a greater distance,
+        # and only rows that can fill are seeded.
         score = {
             st: self.ranks.get(
                 (name, st.entry.streamer),
--- a/herongap/rules/slow_start.py
+++ b/herongap/rules/slow_start.py
@@ -11,9 +11,7 @@
 from .state import ControllerState, Streamer
 
 FIRST_TUNE_IN_PART = 0.45  # part of the join target that the first tune-in may take
-MIN_TURNS = (
-    16  # up to so many controllers share the slots exactly; among many more chance evens out by itself
-)
+MIN_TURNS = 16  # up to so many controllers share the slots exactly; among many more, chance evens out
 # A cold streamer still copes with so many times the expected tune-ins, plus so many standard deviations.
 SURGE_FACTOR, SURGE_DEVIATIONS = 2, 3
 
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -77,14 +77,14 @@
 def test_a_viewing_is_raised_on_the_report_at_its_set_up_and_by_chance_if_others_may_raise_too():
     raised = {0.1: 0, 0.5: 0}
     for seed in random.Random(3).sample(range(1 << 32), 60):
-        for asked in raised:
+        for ratio in raised:
             controller = make_controller(deployment_config(controllers=200), seed=seed)
             controller.asked(0.0, viewing_request(1))
             streamer = next(d[2] for d in pull_decisions(controller, 0.0) if d[0] == "tune_in")
             controller.started(0.1, 1, 0, streamer, 0.1)
             controller.rung_told(0.1, 1, 0)
-            controller.load_told(0.1, streamer, False, 1, asked)
-            raised[asked] += any(d[0] == "rung" for d in pull_decisions(controller, 0.1))
+            controller.load_told(0.1, streamer, False, 1, ratio)
+            raised[ratio] += any(d[0] == "rung" for d in pull_decisions(controller, 0.1))
     assert raised[0.1] == 60 and 5 < raised[0.5] < 50
 
 
@@ -214,8 +214,8 @@
 def test_rungs_of_equal_value_or_rate_do_no_harm():
     controller = make_controller(deployment_config(ladder=(100.0, 100.0, 900.0), worths=(0.5, 0.5, 0.5)))
     controller.handed(0.0, viewing_request(1), 10)
-    for now, asked in ((0.0, 0.3), (9.0, 0.3), (15.0, 0.3), (20.0, 1.5), (30.0, 1.5)):
-        controller.load_told(now, 10, False, 1, asked)
+    for now, ratio in ((0.0, 0.3), (9.0, 0.3), (15.0, 0.3), (20.0, 1.5), (30.0, 1.5)):
+        controller.load_told(now, 10, False, 1, ratio)
         controller.asked(now, viewing_request(int(now) + 2))
         assert any(d[0] in ("tune_in", "block", "wake") for d in pull_decisions(controller, now))
 
@@ -252,9 +252,9 @@
 
 def test_a_failure_inside_the_module_is_reported_on_the_wire():
     out = io.BytesIO()
-    link = BenchAdapter(out)
-    link.hosted["a"] = None
-    link.serve([b'{"Turn":{"Moment":1.0}}', b'{"Ring":{"I":"a","Ctx":"wake"}}', b'{"YourTurn":{}}'])
+    adapter = BenchAdapter(out)
+    adapter.hosted["a"] = None
+    adapter.serve([b'{"Turn":{"Moment":1.0}}', b'{"Ring":{"I":"a","Ctx":"wake"}}', b'{"YourTurn":{}}'])
     assert out.getvalue().startswith(b'{"Panic": {"I": "a"') and out.getvalue().endswith(b'{"Ready":{}}\n')
 
 
@@ -381,20 +381,20 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_sudden_burst_does_not_overload_links_much(seed):
-    crowd, links, over, draw = 40, 12, 0.0, random.Random(seed)
-    terms = deployment_config(controllers=crowd, link_per_weight=1e4, rack_link=1e9)
-    made = [make_controller(terms, seed=i, cells=links) for i in range(crowd)]
+    count, links, overload, draw = 40, 12, 0.0, random.Random(seed)
+    config = deployment_config(controllers=count, link_per_weight=1e4, rack_link=1e9)
+    controllers = [make_controller(config, seed=i, cells=links) for i in range(count)]
     for i in range(400):
-        now, controller = i / 200, made[draw.randrange(crowd)]
+        now, controller = i / 200, controllers[draw.randrange(count)]
         controller.asked(now, viewing_request(i, title=i, holders=links))
         for d in pull_decisions(controller, now):
             if d[0] == "tune_in":
                 # Only the answers report the load; notices would arrive after the burst.
-                asked = [
-                    sum(one.streamers[10 + streamer].link.own for one in made) / 1e4
+                loads = [
+                    sum(each.streamers[10 + streamer].link.own for each in controllers) / 1e4
                     for streamer in range(links)
                 ]
                 controller.started(now, d[1], 0, d[2], 0.02)
-                controller.load_told(now, d[2], False, d[1], asked[d[2] - 10])
-                over += sum(max(0.0, use - 1) for use in asked) / links / 400
-    assert over < 0.2 and sum(asked) / links > 0.9
+                controller.load_told(now, d[2], False, d[1], loads[d[2] - 10])
+                overload += sum(max(0.0, use - 1) for use in loads) / links / 400
+    assert overload < 0.2 and sum(loads) / links > 0.9
