--- a/tests/members.py
+++ b/tests/members.py
@@ -54,8 +54,10 @@
             f"metrics = {address(self.metrics_ports[number])}\nlog_to = log-{number}\n",
         )
         seeds = ", ".join(address(relayed[1]) for relayed in self.relay_addresses)
-        listen = address(self.real_ports[number])
-        text += f"[gossip]\nlisten = {listen}\nfleet = test\nevery = 0.25\nseeds = {seeds}\n"
+        text += (
+            f"[gossip]\nlisten = {address(self.real_ports[number])}\nfleet = test\nevery = 0.25\n"
+            f"seeds = {seeds}\n"
+        )
         text += f"advertise = {address(self.relay_addresses[number][1])}\n"
         path = self.folder / f"front-{number}.ini"
         path.write_text(text)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -10,11 +10,11 @@
 import gevent
 import pytest
 from click.testing import CliRunner
-from helpers import controller, deployment_config, pull_decisions, viewing_request
+from helpers import deployment_config, make_controller, pull_decisions, viewing_request
 from loopback import INI
 from test_etcd import PREFIX, cluster
 from test_host import Port
-from test_parts import site
+from test_parts import parse_site
 
 from herongap.accord import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms, UsageCounter
 from herongap.accord.document import encode_document
@@ -54,7 +54,7 @@
 
 
 def test_budget_sections_become_fleet_budgets_and_budget_terms(tmp_path):
-    made = site(tmp_path, budget_ini())
+    made = parse_site(tmp_path, budget_ini())
     assert made.charter.wholes == (
         FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
         FleetBudget("further", BudgetScope.FURTHER),
@@ -85,17 +85,17 @@
     text = budget_ini()
     assert change[0] in text
     with pytest.raises(Faults, match=message):
-        site(tmp_path, text.replace(*change))
+        parse_site(tmp_path, text.replace(*change))
 
 
 # Decisions of the module.
 
 
 def controller_with_budgets(*budgets, **rooms):
-    c = controller(deployment_config(wholes=budgets))
+    controller = make_controller(deployment_config(wholes=budgets))
     for name, room in rooms.items():
-        c.given(0.0, name, room)
-    return c
+        controller.given(0.0, name, room)
+    return controller
 
 
 def decisions_of(decisions, *kinds):
@@ -103,87 +103,87 @@
 
 
 def test_viewing_waits_for_room_and_requests_more_only_once():
-    c = controller_with_budgets(FleetBudget("all", BudgetScope.VIEWINGS))
-    c.asked(1.0, viewing_request(1))
-    found = pull_decisions(c, 1.0)
+    controller = controller_with_budgets(FleetBudget("all", BudgetScope.VIEWINGS))
+    controller.asked(1.0, viewing_request(1))
+    found = pull_decisions(controller, 1.0)
     assert decisions_of(found, "tune_in", "block") == [] and decisions_of(found, "short") == [
         ("short", "all")
     ]
-    c.listed(1.05, "changes", ())
-    assert decisions_of(pull_decisions(c, 1.05), "short") == []
-    c.given(1.1, "all", 1)
-    found = pull_decisions(c, 1.1)
+    controller.listed(1.05, "changes", ())
+    assert decisions_of(pull_decisions(controller, 1.05), "short") == []
+    controller.given(1.1, "all", 1)
+    found = pull_decisions(controller, 1.1)
     assert [d[0] for d in decisions_of(found, "charge", "tune_in")] == ["charge", "tune_in"]
     assert decisions_of(found, "charge") == [("charge", 1, ("all",))]
     # The decision itself uses up the room, before any new room is reported.
-    c.asked(1.1, viewing_request(2))
-    assert decisions_of(pull_decisions(c, 1.1), "tune_in") == []
+    controller.asked(1.1, viewing_request(2))
+    assert decisions_of(pull_decisions(controller, 1.1), "tune_in") == []
     # It waits no longer than any viewing without room and is told when to retry.
-    assert ("block", 2, 0.5) in pull_decisions(c, 1.6)
+    assert ("block", 2, 0.5) in pull_decisions(controller, 1.6)
 
 
 def test_budget_counts_only_what_its_scope_selects():
-    c = controller_with_budgets(
+    controller = controller_with_budgets(
         FleetBudget("title", BudgetScope.VIEWINGS, "news", title=7),
         FleetBudget("member", BudgetScope.TUNE_INS, member="m"),
         FleetBudget("other", BudgetScope.VIEWINGS, "sports"),
     )
-    c.asked(1.0, viewing_request(1, title=1))
-    assert decisions_of(pull_decisions(c, 1.0), "charge") == [("charge", 1, ())]
-    c.asked(1.0, viewing_request(2, title=7))
-    c.asked(1.0, viewing_request(3)._replace(member="m"))
-    found = pull_decisions(c, 1.0)
+    controller.asked(1.0, viewing_request(1, title=1))
+    assert decisions_of(pull_decisions(controller, 1.0), "charge") == [("charge", 1, ())]
+    controller.asked(1.0, viewing_request(2, title=7))
+    controller.asked(1.0, viewing_request(3)._replace(member="m"))
+    found = pull_decisions(controller, 1.0)
     assert decisions_of(found, "tune_in") == [] and set(decisions_of(found, "short")) == {
         ("short", "title"),
         ("short", "member"),
     }
 
 
-def test_further_budget_counts_retries_but_not_the_first_tune_in():
-    c = controller_with_budgets(FleetBudget("further", BudgetScope.FURTHER), further=0)
-    c.asked(1.0, viewing_request(1))
-    (_, _, streamer, time_out) = decisions_of(pull_decisions(c, 1.0), "tune_in")[0]
-    c.ended(1.2, 1, 0, streamer, EndReason.FULL, 0.2, False, LoadReport())
-    found = pull_decisions(c, 1.2)
+def test_further_budget_counts_all_tune_ins_but_the_first():
+    controller = controller_with_budgets(FleetBudget("further", BudgetScope.FURTHER), further=0)
+    controller.asked(1.0, viewing_request(1))
+    (_, _, streamer, time_out) = decisions_of(pull_decisions(controller, 1.0), "tune_in")[0]
+    controller.ended(1.2, 1, 0, streamer, EndReason.FULL, 0.2, False, LoadReport())
+    found = pull_decisions(controller, 1.2)
     assert decisions_of(found, "tune_in") == [] and decisions_of(found, "short") == [("short", "further")]
-    c.given(1.25, "further", 1)
-    assert ("charge", 1, ("further",)) in pull_decisions(c, 1.25)
+    controller.given(1.25, "further", 1)
+    assert ("charge", 1, ("further",)) in pull_decisions(controller, 1.25)
 
 
 def test_cold_budget_counts_possibly_cold_tune_ins_only():
-    c = controller_with_budgets(FleetBudget("cold", BudgetScope.COLD), cold=0)
-    for streamer in c.streamers.values():
+    controller = controller_with_budgets(FleetBudget("cold", BudgetScope.COLD), cold=0)
+    for streamer in controller.streamers.values():
         streamer.started = 0.0
-    c.asked(5.0, viewing_request(1))
-    found = pull_decisions(c, 5.0)
+    controller.asked(5.0, viewing_request(1))
+    found = pull_decisions(controller, 5.0)
     assert decisions_of(found, "tune_in") == []
-    c.asked(11.0, viewing_request(2))
-    assert decisions_of(pull_decisions(c, 11.0), "charge") == [("charge", 2, ())]
+    controller.asked(11.0, viewing_request(2))
+    assert decisions_of(pull_decisions(controller, 11.0), "charge") == [("charge", 2, ())]
 
 
 def test_negative_room_ends_the_cheapest_viewings_and_none_twice():
-    c = controller_with_budgets(FleetBudget("all", BudgetScope.VIEWINGS), all=3)
+    controller = controller_with_budgets(FleetBudget("all", BudgetScope.VIEWINGS), all=3)
     for i in range(3):
-        c.asked(1.0, viewing_request(i))
-        (_, _, streamer, _) = decisions_of(pull_decisions(c, 1.0), "tune_in")[0]
-        c.started(1.1, i, 0, streamer, 0.1)
-        pull_decisions(c, 1.1)
-    c.given(5.0, "all", -2)
-    moved = decisions_of(pull_decisions(c, 5.0), "move")
+        controller.asked(1.0, viewing_request(i))
+        (_, _, streamer, _) = decisions_of(pull_decisions(controller, 1.0), "tune_in")[0]
+        controller.started(1.1, i, 0, streamer, 0.1)
+        pull_decisions(controller, 1.1)
+    controller.given(5.0, "all", -2)
+    moved = decisions_of(pull_decisions(controller, 5.0), "move")
     assert len(moved) == 2
-    c.given(5.1, "all", -2)
-    assert decisions_of(pull_decisions(c, 5.1), "move") == []
+    controller.given(5.1, "all", -2)
+    assert decisions_of(pull_decisions(controller, 5.1), "move") == []
     ended = moved[0][1]
-    viewing = c.viewings[ended]
-    c.ended(5.2, ended, 0, viewing.streamer.entry.streamer, EndReason.PLAYED, 4.0, True, None)
-    c.given(5.2, "all", -1)
-    assert decisions_of(pull_decisions(c, 5.2), "move") == [], "the other one is ending already"
+    viewing = controller.viewings[ended]
+    controller.ended(5.2, ended, 0, viewing.streamer.entry.streamer, EndReason.PLAYED, 4.0, True, None)
+    controller.given(5.2, "all", -1)
+    assert decisions_of(pull_decisions(controller, 5.2), "move") == [], "the other one is ending already"
 
 
 def test_host_keeps_charged_budgets_and_ends_no_viewing_that_is_leaving():
     port = Port()
     host = Host(0.0, 7, deployment_config(wholes=(FleetBudget("all", BudgetScope.VIEWINGS),)), port)
-    host.listed(0.0, "whole", [streamer.entry for streamer in controller().streamers.values()])
+    host.listed(0.0, "whole", [streamer.entry for streamer in make_controller().streamers.values()])
     host.given(0.0, "all", 1)
     host.asked(1.0, viewing_request(1))
     assert host.viewings[1].charged_budgets == ("all",)
