--- a/herongap/etcd/follower.py
+++ b/herongap/etcd/follower.py
@@ -1,13 +1,14 @@
-"""The follower of one prefix: a mirror of its keys that is never older than it was.
+"""A local mirror of all keys under one prefix, kept up to date by reading once and then watching.
 
-It reads the prefix once at a revision and watches from the next. Whatever breaks, it knows what it needs
-next: to watch on from where it is, or, where that has been compacted away, to read everything anew. What it
-holds is always the true content of the prefix at `revision`; `fleet/worlds.py` checks that over all
-interleavings of a small world, with this very class.
+The follower reads the prefix at one revision and watches from the next one. After any failure it knows what
+to do next: resume the watch at its revision or, where that revision has been compacted, read the prefix
+again. Its content is always the exact content of the prefix at `revision`, and it never goes back to an older
+state. `fleet/worlds.py` checks both properties over all interleavings of a small model, using this class.
 
-What the protocol promises (etcd.io, "KV API guarantees"): events come in the order of their revisions, all
-events of one revision together unless they are fragments, none left out from the start of a watch on; a
-message without events is progress: everything up to its revision has been delivered.
+The guarantees of etcd that this relies on (etcd.io, "KV API guarantees"): events arrive in the order of
+their revisions; all events of one revision arrive together unless they are fragmented; no event is missing
+after the start of a watch; a message without events is a progress notification: everything up to its revision
+has been delivered.
 """
 
 from enum import Enum
@@ -17,26 +18,26 @@
 
 
 class NextAction(Enum):
-    """What the follower needs next."""
+    """The request that the follower needs next."""
 
     READ = "read"
     WATCH = "watch"
 
 
 class MessageOutcome(Enum):
-    """What a message was worth."""
+    """What became of a message from etcd."""
 
     APPLIED = "taken"
-    PARTIAL = "part"  # more of it is to come
-    STALE = "old"  # of a stream that is no longer ours, or known already
-    MEMBER_BEHIND = "behind"  # its member has not got as far as we have seen: ask another
-    OTHER_CLUSTER = "foreign"  # its member belongs to another cluster, whose revisions mean nothing here
-    CANCELED = "ended"  # this watch is over
-    COMPACTED = "compacted"  # where it was to go on is gone: read anew
+    PARTIAL = "part"  # more pages or fragments follow
+    STALE = "old"  # from a watch that was given up, or already known
+    MEMBER_BEHIND = "behind"  # the member lags behind the highest revision seen: use another member
+    OTHER_CLUSTER = "foreign"  # the member belongs to another cluster, whose revisions are not comparable
+    CANCELED = "ended"  # the server canceled this watch
+    COMPACTED = "compacted"  # the start revision has been compacted: read the prefix again
 
 
 class KeyEntry(NamedTuple):
-    """A key's value and where it comes from. Another `create` is another key that has the same name."""
+    """A key's value and revisions. A different create revision shows that the key was created anew."""
 
     value: bytes
     create_revision: int
@@ -44,7 +45,7 @@
 
 
 class KeyChange(NamedTuple):
-    """A key that is not as it was; None where it was not, or is no more."""
+    """The old and the new entry of a changed key; None where the key did not or does not exist."""
 
     key: str
     old: KeyEntry | None
@@ -52,15 +53,15 @@
 
     @property
     def recreated(self) -> bool:
-        """Deleted and made again while nobody looked."""
+        """Whether the key was deleted and created again between the two states."""
         return bool(self.old and self.new and self.old.create_revision != self.new.create_revision)
 
 
 class PrefixFollower:
-    """The mirror and what is known of its source.
+    """The mirrored entries and the state of the read or watch that updates them.
 
-    Begins empty, or with what was remembered: `items` as they were at `revision` of `cluster`. `revision` is
-    where the mirror stands, `seen` the highest revision that any member has shown.
+    Starts empty or from a saved mirror: `items` as they were at `revision` of `cluster`. `revision` is the
+    revision of the mirror, `highest_revision` the highest one that any member has reported.
     """
 
     __slots__ = ("cluster", "counts", "next_action", "items", "revision", "highest_revision", "watch_number",
@@ -74,36 +75,36 @@
         self.counts = dict.fromkeys(
             ("reads", "watches", "events", "old", "behind", "foreign", "compacted"), 0
         )
-        # What was remembered is news to whoever asks for changes.
-        self._changes = {key: KeyChange(key, None, item) for key, item in self.items.items()}
+        # The entries of a saved mirror are reported as changes too.
+        self._changes = {key: KeyChange(key, None, entry) for key, entry in self.items.items()}
         self._pages: dict[str, KeyEntry] | None = None
         self._read_revision, self._cluster_switched = 0, False
         self._fragments: list[Event] = []
 
-    # Reading.
+    # Reading the prefix.
 
     def next_page_start(self) -> tuple[str, int]:
-        """After which key, and at which revision, the next page is to be read; ("", 0) for the first."""
+        """The key after which the next page starts, and the revision to read at; ("", 0) for the first."""
         if not self._pages:
             return "", 0
         return max(self._pages), self._read_revision
 
-    def handle_page(self, reply: RangeResponse) -> MessageOutcome:
-        """A page of a read."""
-        if (told := self._check_cluster(reply.header.cluster_id)) is not None:
-            return told
+    def handle_page(self, response: RangeResponse) -> MessageOutcome:
+        """Process one page of a read; the mirror is replaced when the last page has arrived."""
+        if (rejected := self._check_cluster(response.header.cluster_id)) is not None:
+            return rejected
         first = self._pages is None
-        if reply.header.revision < (self.highest_revision if first else self._read_revision):
-            # Also what a member without its data says: an empty range is believed from none that is behind.
+        if response.header.revision < (self.highest_revision if first else self._read_revision):
+            # A member that has lost its data answers with an empty range: reject any that is behind.
             self.counts["behind"] += 1
             self._pages = None
             return MessageOutcome.MEMBER_BEHIND
         if first:
-            self._pages, self._read_revision = {}, reply.header.revision
-        self.highest_revision = max(self.highest_revision, reply.header.revision)
-        for kv in reply.kvs:
-            self._pages[kv.key.decode("utf-8", "surrogateescape")] = _item(kv)
-        if reply.more and reply.kvs:
+            self._pages, self._read_revision = {}, response.header.revision
+        self.highest_revision = max(self.highest_revision, response.header.revision)
+        for kv in response.kvs:
+            self._pages[kv.key.decode("utf-8", "surrogateescape")] = _to_entry(kv)
+        if response.more and response.kvs:
             return MessageOutcome.PARTIAL
         self._replace_all(self._pages, self._read_revision)
         self._pages, self.next_action = None, NextAction.WATCH
@@ -111,69 +112,69 @@
         return MessageOutcome.APPLIED
 
     def abort_read(self) -> None:
-        """The read broke, or its revision was compacted under it: it begins again."""
+        """Discard the pages read so far: the read failed, or its revision was compacted meanwhile."""
         self._pages = None
 
-    def _replace_all(self, items: dict[str, KeyEntry], revision: int) -> None:
-        for key in self.items.keys() - items.keys():
+    def _replace_all(self, entries: dict[str, KeyEntry], revision: int) -> None:
+        for key in self.items.keys() - entries.keys():
             self._change(key, None)
-        for key, item in items.items():
+        for key, entry in entries.items():
             old = self.items.get(key)
             if old and self._cluster_switched:
-                # Revisions of two clusters say nothing about each other: nobody started anew by this.
-                old = self.items[key] = KeyEntry(old.value, item.create_revision, item.mod_revision)
-            if old is None or old.mod_revision != item.mod_revision or old.value != item.value:
-                self._change(key, item)
+                # Revisions of two clusters are not comparable: a different one shows no restart.
+                old = self.items[key] = KeyEntry(old.value, entry.create_revision, entry.mod_revision)
+            if old is None or old.mod_revision != entry.mod_revision or old.value != entry.value:
+                self._change(key, entry)
         self.revision, self._cluster_switched = revision, False
 
     # Watching.
 
     def start_watch(self) -> tuple[int, int]:
-        """A new watch begins: its turn, which comes back with each of its messages, and its first
-        revision.
+        """Begin a new watch; returns its number, which is passed with each of its messages, and the revision to
+        start from.
         """
         self.watch_number += 1
         self.watching, self._fragments = False, []
         self.counts["watches"] += 1
         return self.watch_number, self.revision + 1
 
-    def handle_watch(self, watch_number: int, reply: WatchResponse) -> MessageOutcome:
-        """A message of a watch."""
+    def handle_watch(self, watch_number: int, response: WatchResponse) -> MessageOutcome:
+        """Process one message of a watch."""
         if watch_number != self.watch_number or self.next_action is not NextAction.WATCH:
             return MessageOutcome.STALE
-        if (told := self._check_cluster(reply.header.cluster_id)) is not None:
+        if (rejected := self._check_cluster(response.header.cluster_id)) is not None:
             self.stop_watch(watch_number)
-            return told
-        if reply.canceled:
+            return rejected
+        if response.canceled:
             self.stop_watch(watch_number)
-            if reply.compact_revision:
+            if response.compact_revision:
                 self.counts["compacted"] += 1
                 self.next_action = NextAction.READ
                 return MessageOutcome.COMPACTED
             return MessageOutcome.CANCELED
-        self.highest_revision = max(self.highest_revision, reply.header.revision)
-        if reply.created:
+        self.highest_revision = max(self.highest_revision, response.header.revision)
+        if response.created:
             self.watching = True
-            if reply.header.revision < self.revision:
-                # It will tell us nothing until it has caught up, and perhaps it never does.
+            if response.header.revision < self.revision:
+                # This member sends nothing until it has caught up, which may never happen.
                 self.counts["behind"] += 1
                 return MessageOutcome.MEMBER_BEHIND
             return MessageOutcome.APPLIED
         if not self.watching:
             return MessageOutcome.STALE
-        if reply.fragment:
-            self._fragments += reply.events
+        if response.fragment:
+            self._fragments += response.events
             return MessageOutcome.PARTIAL
-        events, self._fragments = self._fragments + reply.events, []
+        events, self._fragments = self._fragments + response.events, []
         if events:
             return self._apply(events)
-        if reply.header.revision < self.revision:
+        if response.header.revision < self.revision:
             return MessageOutcome.STALE
-        self.revision = reply.header.revision
+        self.revision = response.header.revision
         return MessageOutcome.APPLIED
 
     def stop_watch(self, watch_number: int) -> None:
-        """A watch's stream ended. Fragments of what never came whole are dropped: they come again."""
+        """The stream of a watch ended. Incomplete fragments are dropped; the next watch delivers them."""
         if watch_number == self.watch_number:
             self.watch_number += 1
             self.watching, self._fragments = False, []
@@ -187,13 +188,13 @@
                 continue
             last = kv.mod_revision
             key = kv.key.decode("utf-8", "surrogateescape")
-            self._change(key, None if event.type == "DELETE" else _item(kv))
+            self._change(key, None if event.type == "DELETE" else _to_entry(kv))
             self.counts["events"] += 1
         self.revision = last
         self.highest_revision = max(self.highest_revision, last)
         return MessageOutcome.APPLIED if last > before else MessageOutcome.STALE
 
-    # Both.
+    # Shared by reading and watching.
 
     def _check_cluster(self, cluster: int) -> MessageOutcome | None:
         if self.cluster and cluster != self.cluster:
@@ -203,28 +204,28 @@
         return None
 
     def switch_cluster(self, cluster: int) -> None:
-        """Follow another cluster from now on: what is held stays until it has been read there."""
+        """Follow another cluster from now on; the present entries stay until that cluster has been read."""
         self.cluster, self.highest_revision, self.revision = cluster, 0, 0
         self.next_action, self._pages, self._cluster_switched = NextAction.READ, None, True
         self.stop_watch(self.watch_number)
 
-    def _change(self, key: str, item: KeyEntry | None) -> None:
+    def _change(self, key: str, entry: KeyEntry | None) -> None:
         old = self.items.pop(key, None)
-        if item is not None:
-            self.items[key] = item
-        if old == item:
+        if entry is not None:
+            self.items[key] = entry
+        if old == entry:
             return
-        # What has changed twice since anybody looked is one change, from what they knew.
-        first = self._changes.pop(key, None)
-        since = first.old if first else old
-        if since != item:
-            self._changes[key] = KeyChange(key, since, item)
+        # Several changes of a key since the last `take_changes` count as one, from the state reported then.
+        earlier = self._changes.pop(key, None)
+        reported = earlier.old if earlier else old
+        if reported != entry:
+            self._changes[key] = KeyChange(key, reported, entry)
 
     def take_changes(self) -> list[KeyChange]:
-        """What has changed since the last look."""
+        """The changes since the last call."""
         found, self._changes = list(self._changes.values()), {}
         return found
 
 
-def _item(kv: KeyValue) -> KeyEntry:
+def _to_entry(kv: KeyValue) -> KeyEntry:
     return KeyEntry(kv.value, kv.create_revision, kv.mod_revision)
