--- a/herongap/etcd/follower.py
+++ b/herongap/etcd/follower.py
@@ -130,8 +130,8 @@
     # Watching.
 
     def start_watch(self) -> tuple[int, int]:
-        """Begin a new watch; returns its number, which is passed with each of its messages, and the revision to
-        start from.
+        """Begin a new watch; returns its number, which is passed with each of its messages, and the start
+        revision.
         """
         self.watch_number += 1
         self.watching, self._fragments = False, []
--- a/herongap/etcd/keys.py
+++ b/herongap/etcd/keys.py
@@ -1,11 +1,11 @@
-"""Our keys and their values, version 1. Under a prefix, `/herongap/` by default:
+"""The stored keys and their values, format version 1. Under a prefix, `/herongap/` by default:
 
-    streamers/ID          a streamer, put by itself or by whoever starts it, for choice under a lease
-    drains/ID             the streamer takes no new work for as long as the key is there, whatever its value
+    streamers/ID          a streamer, put by itself or by its supervisor, preferably under a lease
+    drains/ID             the streamer takes no new work while the key exists, whatever its value
     controllers/NUMBER    a live controller, under its lease
 
-Values are JSON objects with "v": 1. Fields that are not known are kept by whoever writes a value back. A
-drain is a key of its own, so that a streamer that puts its value anew cannot undo it.
+Values are JSON objects with "v": 1. A writer keeps unknown fields of the value it replaces. A drain is a
+key of its own, so that a streamer that puts its value again cannot remove the drain.
 """
 
 from typing import Annotated
@@ -15,17 +15,17 @@
 from herongap.errors import Unusable
 from herongap.http import parse_url
 
-VERSION = 1
+FORMAT_VERSION = 1
 
 
 class InvalidValueError(Unusable):
-    """A value that cannot be used."""
+    """The value of a key cannot be used."""
 
-    advice = "correct the value under that key; nothing of it is used"
+    advice = "correct the value under that key; it is ignored until then"
 
 
 class StreamerValue(msgspec.Struct, omit_defaults=True):
-    """`started` is in seconds since the epoch; cell and rack default to the streamer's own."""
+    """A streamer. `started` is in seconds since the epoch; cell and rack default to the streamer's own."""
 
     v: int
     url: str
@@ -38,10 +38,13 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """Host and port of the URL."""
         return parse_url(self.url)
 
 
 class DrainValue(msgspec.Struct, omit_defaults=True):
+    """When a streamer was drained, by whom and why."""
+
     v: int
     since: float = 0.0
     by: str = ""
@@ -49,43 +52,45 @@
 
 
 class ControllerValue(msgspec.Struct, omit_defaults=True):
+    """A live controller."""
+
     v: int
     name: str
     address: str = ""
     zone: str = ""
 
 
-KINDS = {"streamers": StreamerValue, "drains": DrainValue, "controllers": ControllerValue}
+VALUE_TYPES = {"streamers": StreamerValue, "drains": DrainValue, "controllers": ControllerValue}
 
 
 def split_key(prefix: str, key: str) -> tuple[str, str] | None:
-    """The kind and the name of a key of ours, None for any other."""
+    """The kind and the name in a key of this schema; None for any other key."""
     kind, _, name = key.removeprefix(prefix).partition("/")
-    return (kind, name) if key.startswith(prefix) and kind in KINDS and name else None
+    return (kind, name) if key.startswith(prefix) and kind in VALUE_TYPES and name else None
 
 
 def decode_value(kind: str, value: bytes):
-    """A value of a kind; raises Bad with the reason."""
+    """Decode and check a value; raises InvalidValueError with the reason."""
     try:
-        found = msgspec.json.decode(value, type=KINDS[kind])
-    except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise InvalidValueError(str(fault)) from fault
-    if found.v != VERSION:
-        raise InvalidValueError(f"version {found.v}, known is {VERSION}")
+        decoded = msgspec.json.decode(value, type=VALUE_TYPES[kind])
+    except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+        raise InvalidValueError(str(error)) from error
+    if decoded.v != FORMAT_VERSION:
+        raise InvalidValueError(f"version {decoded.v} is not supported, expected {FORMAT_VERSION}")
     if kind == "streamers":
         try:
-            parse_url(found.url)
-        except ValueError as fault:
-            raise InvalidValueError(str(fault)) from fault
-    return found
+            parse_url(decoded.url)
+        except ValueError as error:
+            raise InvalidValueError(str(error)) from error
+    return decoded
 
 
 def update_value(value: bytes | None, **fields) -> bytes:
-    """A value with some fields changed and all others kept, known here or not. Raises Bad."""
+    """A value with some fields changed and all others kept, also unknown ones. Raises InvalidValueError."""
     try:
         old = msgspec.json.decode(value) if value else {}
-    except msgspec.MsgspecError as fault:
-        raise InvalidValueError(str(fault)) from fault
+    except msgspec.MsgspecError as error:
+        raise InvalidValueError(str(error)) from error
     if not isinstance(old, dict):
         raise InvalidValueError("not a JSON object")
-    return msgspec.json.encode(old | {"v": VERSION} | fields)
+    return msgspec.json.encode(old | {"v": FORMAT_VERSION} | fields)
--- a/herongap/etcd/membership.py
+++ b/herongap/etcd/membership.py
@@ -1,26 +1,27 @@
-"""Which controllers live, and what one may do whose own lease is in doubt. Decides without I/O.
+"""A controller's own lease and number, and its rank among the live controllers. Decides without I/O.
 
-A controller takes a lease, claims `controllers/NUMBER` under it, and keeps it alive. By its own clock it
-trusts the lease until `ttl - MARGIN` after it sent the request that was answered last: the server counts from
-later, so it never trusts longer than the server does, however long answers take or the process sleeps.
+A controller obtains a lease, claims `controllers/NUMBER` under it, and keeps it alive. By its own clock it
+relies on the lease until `ttl - CLOCK_MARGIN_SECONDS` after it sent the last request that was answered. The
+server counts from later, so a controller never relies on its lease for longer than the server does, however
+long replies take or the process is suspended.
 
-What the count is for: pace at cold streamers and room ahead are divided among the live controllers, each by
-its rank among them. While its lease is in doubt, and a while after it has won it, a controller has no rank:
-it goes on playing and placing, but sends nothing to a cold streamer, for others may have taken its turns over
-or may not know of it yet.
+The rank divides two things among the live controllers: the rate at which cold streamers get work, and the
+capacity kept free. While its lease is uncertain, and for SETTLE_SECONDS after the claim, a controller has
+no rank. It goes on playing and placing, but sends nothing to a cold streamer, as other controllers may have
+taken over its slots or may not know of it yet.
 """
 
 from collections.abc import Collection
 from enum import Enum
 from typing import NamedTuple
 
-CLOCK_MARGIN_SECONDS = 0.5  # seconds that clocks may stray from each other over one lease
-SETTLE_SECONDS = 1.0  # seconds for which others may not have heard of a number that was just claimed
-RETRY_SECONDS = 0.5  # seconds between two tries to get a lease or a number
+CLOCK_MARGIN_SECONDS = 0.5  # by which two clocks may drift apart over one lease
+SETTLE_SECONDS = 1.0  # for which others may not have heard of a number that was just claimed
+RETRY_SECONDS = 0.5  # between two attempts to get a lease or a number
 
 
 class LeaseRequest(Enum):
-    """What is to be asked of the server next."""
+    """A request to the lease server."""
 
     GRANT = "grant"
     CLAIM = "claim"
@@ -28,7 +29,7 @@
 
 
 class ControllerRank(NamedTuple):
-    """What the module is told: a rank among `count` live controllers, None while there is none."""
+    """A rank among `count` live controllers; None while the controller has no rank."""
 
     rank: int | None
     count: int
@@ -37,7 +38,7 @@
 class Membership:
     """One controller's lease and number.
 
-    `expected` is how many controllers the operators run: what is counted on until the live ones are known.
+    `expected` is the number of controllers that the operators run; it is used until the live ones are known.
     """
 
     def __init__(self, number: int, expected: int, ttl: float):
@@ -48,7 +49,7 @@
         self.next_due = 0.0
 
     def next_request(self, now: float) -> LeaseRequest | None:
-        """What to ask of the server now, if anything; call again when `due` has come."""
+        """The request to send now, if any; call again at `next_due`."""
         if self.lease and now >= self.trusted_until:
             self.lease_lost()
         if now < self.next_due:
@@ -62,21 +63,21 @@
         )
 
     def lease_granted(self, sent: float, lease: int, ttl: float) -> None:
-        """A lease is ours; `sent` is when it was asked for."""
+        """A lease was granted; `sent` is when it was requested."""
         self.lease, self.claimed = lease, False
         self.trusted_until = sent + ttl - CLOCK_MARGIN_SECONDS
         self.next_due = sent
 
     def claim_answered(self, now: float, sent: float, won: bool) -> None:
-        """The claim of our number; lost where another holds it, which may be our own earlier process."""
+        """The claim was answered; it fails while another process, or an earlier one, holds the number."""
         self.claimed, self.taken_by_other = won, not won
         if won:
-            # Others hear of it when the server has taken it, which may be long after it was sent.
+            # Others are notified once the server has accepted the claim, which may be long after it was sent.
             self.claimed_at = now
         self.next_due = sent + (self.ttl / 3 if won else RETRY_SECONDS)
 
     def keepalive_answered(self, sent: float, ttl: float) -> None:
-        """A keep-alive was answered; a `ttl` of 0 says that the lease is gone."""
+        """A keep-alive was answered; a `ttl` of 0 means that the lease has expired."""
         if ttl <= 0:
             self.lease_lost()
             return
@@ -84,22 +85,23 @@
         self.next_due = sent + self.ttl / 3
 
     def request_failed(self, now: float) -> None:
-        """A request brought no answer, or an error: the lease may live on, it is tried again."""
+        """A request got no reply, or an error. The lease may still be valid: the request is retried."""
         self.next_due = now + min(RETRY_SECONDS, self.ttl / 6)
 
     def lease_lost(self) -> None:
-        """The lease is gone, or may be: its number is anybody's."""
+        """The lease has expired, or may have: another process may claim the number."""
         self.lease, self.claimed = 0, False
         self.trusted_until = self.claimed_at = float("-inf")
 
     def holds_number(self, now: float) -> bool:
-        """Whether the number is ours beyond doubt."""
+        """Whether this controller certainly holds its number."""
         return self.claimed and now < self.trusted_until
 
     def rank_among(self, now: float, live: Collection[int] | None) -> ControllerRank:
-        """Our place among the numbers that the list names as live, None where there is no list yet.
+        """This controller's rank among the live numbers; `live` is None before the first list.
 
-        Those who are not named any more have lost their lease at the server, and trusted it for less long.
+        A number that is no longer listed has lost its lease at the server, and its holder stopped relying
+        on the lease before that.
         """
         if live is None:
             return ControllerRank(None, self.expected)
--- a/herongap/etcd/messages.py
+++ b/herongap/etcd/messages.py
@@ -1,7 +1,7 @@
-"""Requests and replies of etcd's v3 JSON gateway (etcd.io, "API reference", rpc.proto through grpc-gateway).
+"""Requests and responses of etcd's v3 JSON gateway (etcd.io, "API reference"; rpc.proto by grpc-gateway).
 
-Keys and values are base64 in JSON, 64-bit integers are strings, fields at their zero value are left out.
-Streams are JSON objects on lines of their own, each `{"result": ...}` or `{"error": ...}`.
+Keys and values are base64 in JSON, 64-bit integers are strings, and fields with their zero value are omitted.
+Streams are JSON objects on separate lines, each `{"result": ...}` or `{"error": ...}`.
 """
 
 import base64
@@ -11,14 +11,14 @@
 
 from herongap.errors import HerongapError, Unusable
 
-GRPC_NOT_FOUND = 5  # gRPC: a lease that is gone
-GRPC_OUT_OF_RANGE = 11  # gRPC OUT_OF_RANGE: a revision that is gone, or is not there yet
+GRPC_NOT_FOUND = 5  # a lease that has expired
+GRPC_OUT_OF_RANGE = 11  # a revision that has been compacted, or does not exist yet
 GRPC_UNAUTHENTICATED = 16
-MAX_LINE_BYTES = 32 << 20  # bytes of one stream object; etcd fragments watch replies far below
+MAX_LINE_BYTES = 32 << 20  # of one stream object; etcd fragments watch responses far below this size
 
 
 class EtcdError(HerongapError):
-    """The server's refusal: its gRPC `code` and message."""
+    """An error returned by the server: its gRPC `code` and message."""
 
     advice = "see the log of the member, its users and its quota"
 
@@ -28,16 +28,19 @@
 
     @property
     def compacted(self) -> bool:
+        """Whether the requested revision has been compacted."""
         return self.code == GRPC_OUT_OF_RANGE and "compacted" in str(self)
 
 
 class MalformedReplyError(Unusable):
-    """A reply that is not what the API gives."""
+    """A response that does not conform to the API."""
 
-    advice = "see which member answered, and what stands between it and here"
+    advice = "see which member answered, and which proxies lie between"
 
 
 class ResponseHeader(msgspec.Struct):
+    """The header of every response: which member of which cluster answered, and at which revision."""
+
     cluster_id: int = 0
     member_id: int = 0
     revision: int = 0
@@ -45,7 +48,7 @@
 
 
 class KeyValue(msgspec.Struct):
-    """A key as the store holds it; a deletion has its key and `mod_revision` alone."""
+    """A key as the store holds it; a deletion carries only its key and `mod_revision`."""
 
     key: bytes = b""
     value: bytes = b""
@@ -56,11 +59,15 @@
 
 
 class Event(msgspec.Struct):
+    """A change of one key."""
+
     kv: KeyValue
     type: Literal["PUT", "DELETE"] = "PUT"
 
 
 class RangeResponse(msgspec.Struct):
+    """One page of a read."""
+
     header: ResponseHeader
     kvs: list[KeyValue] = []
     more: bool = False
@@ -81,7 +88,7 @@
 
 
 class LeaseResponse(msgspec.Struct):
-    """The answer to a grant or a keep-alive; a `TTL` of 0 is a lease that is gone."""
+    """The response to a grant or a keep-alive; a `TTL` of 0 means that the lease has expired."""
 
     header: ResponseHeader = msgspec.field(default_factory=ResponseHeader)
     ID: int = 0
@@ -89,34 +96,34 @@
     error: str = ""
 
 
-class _Ranged(msgspec.Struct):
+class _RangeResult(msgspec.Struct):
     kvs: list[KeyValue] = []
 
 
-class _Response(msgspec.Struct):
-    response_range: _Ranged | None = None
+class _OperationResult(msgspec.Struct):
+    response_range: _RangeResult | None = None
 
 
 class TxnResponse(msgspec.Struct):
-    """The answer to a claim. Where it failed, what stands in its way."""
+    """The response to a conditional put. Where the condition failed, it carries the key as it is."""
 
     header: ResponseHeader
     succeeded: bool = False
-    responses: list[_Response] = []
+    responses: list[_OperationResult] = []
 
     @property
     def existing(self) -> KeyValue | None:
-        """What stood in the way; None where there was nothing, or nothing was asked."""
+        """The key as read after a failed condition; None if it does not exist or was not read."""
         kvs = [kv for r in self.responses if r.response_range for kv in r.response_range.kvs]
         return kvs[0] if kvs else None
 
     def claimed(self, lease: int) -> bool:
-        """Whether the key is under that lease: put just now, or by a claim whose answer was lost."""
+        """Whether the key is under that lease: put just now, or by a claim whose response was lost."""
         return self.succeeded or (self.existing is not None and self.existing.lease == lease)
 
     @property
     def conflict(self) -> tuple[int, int, bytes | None]:
-        """After a swap that failed: the revision, the key's version and value; 0 and None without a key."""
+        """After a failed swap: the store's revision, the key's revision and value (0, None without a key)."""
         existing = self.existing
         return (
             self.header.revision,
@@ -126,15 +133,19 @@
 
 
 class PutResponse(msgspec.Struct):
+    """The response to a put or a deletion."""
+
     header: ResponseHeader
 
 
 class AuthenticateResponse(msgspec.Struct):
+    """The response to a login."""
+
     token: str = ""
 
 
-class _Fault(msgspec.Struct):
-    """The gateway's error in its forms: flat for unary calls, nested in streams, `grpc_code` in old ones."""
+class _ErrorBody(msgspec.Struct):
+    """An error of the gateway: flat for unary calls, nested in streams, with `grpc_code` in old versions."""
 
     code: int = 0
     grpc_code: int = 0
@@ -142,12 +153,13 @@
     error: str = ""
 
 
-class _Line(msgspec.Struct):
+class _StreamLine(msgspec.Struct):
     result: msgspec.Raw = msgspec.Raw(b"")
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
 def encode_base64(data: str | bytes) -> str:
+    """Keys and values as the gateway expects them."""
     return base64.b64encode(data.encode() if isinstance(data, str) else data).decode("ascii")
 
 
@@ -161,17 +173,17 @@
 
 
 def range_body(first: str | bytes, end: bytes, revision: int = 0, limit: int = 0) -> bytes:
-    """Keys in order, at a revision or (0) as they are now, linearizable."""
-    asked = {"key": encode_base64(first), "range_end": encode_base64(end)}
+    """A linearizable read of a key range, at a revision or (0) at the latest one."""
+    request = {"key": encode_base64(first), "range_end": encode_base64(end)}
     if revision:
-        asked["revision"] = str(revision)
+        request["revision"] = str(revision)
     if limit:
-        asked["limit"] = str(limit)
-    return msgspec.json.encode(asked)
+        request["limit"] = str(limit)
+    return msgspec.json.encode(request)
 
 
 def watch_body(prefix: str, start: int) -> bytes:
-    """Every change from a revision on, with notes of progress, large replies in fragments."""
+    """A watch of all changes from a revision on, with progress notifications and fragmented responses."""
     create = {
         "key": encode_base64(prefix),
         "range_end": encode_base64(prefix_end(prefix)),
@@ -183,95 +195,100 @@
 
 
 def put_body(key: str, value: bytes, lease: int = 0) -> bytes:
+    """An unconditional put."""
     return msgspec.json.encode(
         {"key": encode_base64(key), "value": encode_base64(value), "lease": str(lease)}
     )
 
 
 def delete_body(key: str) -> bytes:
+    """A deletion of one key."""
     return msgspec.json.encode({"key": encode_base64(key)})
 
 
 def claim_body(key: str, value: bytes, lease: int) -> bytes:
-    """Put a key under a lease if nobody holds it (a transaction on its create revision), else read it."""
+    """Put a key under a lease if it does not exist (compares its create revision), else read it."""
     return _put_if(
         key, {"value": encode_base64(value), "lease": str(lease)}, target="CREATE", create_revision="0"
     )
 
 
 def swap_body(key: str, base: int, value: bytes) -> bytes:
-    """Put a key if its mod revision is `base` still (0: if there is none), else read it."""
+    """Put a key if its mod revision is still `base` (0: if it does not exist), else read it."""
     return _put_if(key, {"value": encode_base64(value)}, target="MOD", mod_revision=str(base))
 
 
 def _put_if(key: str, put: dict, **equal: str) -> bytes:
-    there = {"key": encode_base64(key)}
-    compare = there | {"result": "EQUAL"} | equal
-    success, failure = [{"request_put": there | put}], [{"request_range": there}]
+    key_field = {"key": encode_base64(key)}
+    compare = key_field | {"result": "EQUAL"} | equal
+    success, failure = [{"request_put": key_field | put}], [{"request_range": key_field}]
     return msgspec.json.encode({"compare": [compare], "success": success, "failure": failure})
 
 
 def grant_body(ttl: int) -> bytes:
+    """A request for a lease whose ID the server chooses."""
     return msgspec.json.encode({"TTL": str(ttl), "ID": "0"})
 
 
 def lease_body(lease: int) -> bytes:
+    """A keep-alive or a revocation of a lease."""
     return msgspec.json.encode({"ID": str(lease)})
 
 
 def authenticate_body(user: str, password: str) -> bytes:
+    """A login, which returns a token."""
     return msgspec.json.encode({"name": user, "password": password})
 
 
 def decode_reply(data: bytes, kind: type):
-    """A unary reply; raises Refused for the server's refusal, Garbled for anything else."""
+    """Decode a unary response; raises EtcdError for an error of the server, else MalformedReplyError."""
     try:
         return msgspec.json.decode(data, type=kind, strict=False)
-    except msgspec.MsgspecError as fault:
-        raise _decode_error(data) or MalformedReplyError(f"not a {kind.__name__}: {fault}") from fault
+    except msgspec.MsgspecError as error:
+        raise _decode_error(data) or MalformedReplyError(f"not a {kind.__name__}: {error}") from error
 
 
 def decode_error(data: bytes) -> Exception:
-    """What a reply with an error status says."""
-    return _decode_error(data) or MalformedReplyError("an error without a reason")
+    """The error in the body of a response with an error status."""
+    return _decode_error(data) or MalformedReplyError("an error without a message")
 
 
 def _decode_error(data: bytes) -> EtcdError | None:
     try:
-        fault = msgspec.json.decode(data, type=_Fault, strict=False)
+        body = msgspec.json.decode(data, type=_ErrorBody, strict=False)
     except msgspec.MsgspecError:
         return None
-    message = fault.message or fault.error
-    return EtcdError(fault.code or fault.grpc_code, message) if message else None
+    message = body.message or body.error
+    return EtcdError(body.code or body.grpc_code, message) if message else None
 
 
 def decode_stream_line(line: bytes, kind: type):
-    """One object of a stream; raises Refused or Garbled."""
+    """Decode one object of a stream; raises EtcdError or MalformedReplyError."""
     try:
-        part = msgspec.json.decode(line, type=_Line)
-    except msgspec.MsgspecError as fault:
-        raise MalformedReplyError(f"not a line of a stream: {fault}") from fault
-    if bytes(part.error):
-        raise decode_error(bytes(part.error))
-    if not bytes(part.result):
+        envelope = msgspec.json.decode(line, type=_StreamLine)
+    except msgspec.MsgspecError as error:
+        raise MalformedReplyError(f"not a line of a stream: {error}") from error
+    if bytes(envelope.error):
+        raise decode_error(bytes(envelope.error))
+    if not bytes(envelope.result):
         raise MalformedReplyError("a line with neither result nor error")
-    return decode_reply(bytes(part.result), kind)
+    return decode_reply(bytes(envelope.result), kind)
 
 
 class LineSplitter:
-    """A stream's bytes cut into its lines; one that is longer than FRAME is refused, not kept."""
+    """Splits the bytes of a stream into lines; rejects a line of more than MAX_LINE_BYTES."""
 
     def __init__(self):
-        self._kept = bytearray()
+        self._rest = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now. Raises Garbled."""
+        """The lines completed by these bytes. Raises MalformedReplyError."""
         *lines, rest = data.split(b"\n")
         if lines:
-            lines[0] = bytes(self._kept) + lines[0]
-            self._kept = bytearray(rest)
+            lines[0] = bytes(self._rest) + lines[0]
+            self._rest = bytearray(rest)
         else:
-            self._kept += rest
-        if len(self._kept) > MAX_LINE_BYTES:
-            raise MalformedReplyError("a line longer than is taken")
+            self._rest += rest
+        if len(self._rest) > MAX_LINE_BYTES:
+            raise MalformedReplyError("a line longer than the maximum")
         return [line for line in lines if line.strip()]
