--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -1,10 +1,9 @@
-"""Which key signs, which are published, and when a new one is made or an old one dropped. Decides without
-I/O.
+"""Rotation of the signing keys: which key signs, which are published, when to create and delete one.
 
-A key goes through three times. For `ahead` seconds it is published and signs nothing, so that every streamer
-has fetched it before the first token comes. Then it signs until its successor does. Then it is published for
-as long as the longest token that it can have signed lasts, and for what clocks may differ by; then it is
-dropped.
+Decides without I/O. Each key passes through three phases. For `ahead` seconds it is published without
+signing, so that every streamer has fetched it before the first token arrives. Then it signs until its
+successor does. Then it stays published for the lifetime of the longest token it can have signed, plus an
+allowance for clock skew; after that it is deleted.
 """
 
 from collections.abc import Iterable
@@ -12,63 +11,62 @@
 
 from herongap.errors import Unusable
 
-CLOCK_SKEW_SECONDS = 2.0  # seconds by which the clocks of fronts and streamers may differ
+CLOCK_SKEW_SECONDS = 2.0  # by which the clocks of fronts and streamers may differ
 
 
-class BadRotation(Unusable):
-    """Times of key rotation that cannot be kept."""
+class RotationTimesError(Unusable):
+    """The rotation times contradict each other."""
 
     advice = "set [dash] ahead under rotate, and above 0"
 
 
 class SigningKey(NamedTuple):
-    """A key by its id, and when it was made, in seconds since the epoch."""
+    """A key's ID, and when it was created in seconds since the epoch."""
 
     kid: str
     created_at: float
 
 
 class KeyRotation:
-    """The keys of one signer.
+    """The keys of one signer, in the order of their creation.
 
-    `rotate` is how long a key signs, `ahead` how long it is published before that, `longest` the life of a
-    token; all in seconds.
+    `rotate` is how long a key signs, `ahead` how long it is published before that, `longest` the maximum
+    lifetime of a token; all in seconds.
     """
 
     def __init__(self, keys: Iterable[SigningKey], rotate: float, ahead: float, longest: float):
         if not 0 < ahead < rotate:
-            raise BadRotation("a key must be published before it signs, for less than it signs")
+            raise RotationTimesError(
+                "a key must be published before it signs, and for less time than it signs"
+            )
         self.keys = sorted(keys, key=lambda key: (key.created_at, key.kid))
         self.rotate, self.ahead, self.longest = rotate, ahead, longest
 
     def needs_new_key(self, now: float) -> bool:
-        """Whether a new key is to be made: there is none, or the newest will soon have signed for long
-        enough.
-        """
+        """Whether to create a key: there is none, or the newest was created `rotate` seconds ago."""
         return not self.keys or now >= self.keys[-1].created_at + self.rotate
 
     def add(self, key: SigningKey) -> None:
+        """Add a key that was just created."""
         self.keys.append(key)
         self.keys.sort(key=lambda key: (key.created_at, key.kid))
 
     def signing_key(self, now: float) -> SigningKey | None:
-        """The newest key that has been published for long enough; the oldest where none has, as at first
-        start.
-        """
+        """The newest key published for long enough; the oldest one if there is none, as at first start."""
         ready = [key for key in self.keys if key.created_at + self.ahead <= now]
         return ready[-1] if ready else self.keys[0] if self.keys else None
 
     def published_keys(self, now: float) -> list[SigningKey]:
-        """The keys that streamers are to know."""
-        return [key for i, key in enumerate(self.keys) if now < self._ends(i)]
+        """The keys that streamers have to know."""
+        return [key for i, key in enumerate(self.keys) if now < self._expires_at(i)]
 
     def remove_expired(self, now: float) -> list[SigningKey]:
-        """Keys that no token in force can have been signed by; they are forgotten here, and to be deleted."""
-        over = [key for i, key in enumerate(self.keys) if now >= self._ends(i)]
-        self.keys = [key for key in self.keys if key not in over]
-        return over
+        """Remove and return the keys that have signed no token still valid; their files can be deleted."""
+        expired = [key for i, key in enumerate(self.keys) if now >= self._expires_at(i)]
+        self.keys = [key for key in self.keys if key not in expired]
+        return expired
 
-    def _ends(self, i: int) -> float:
+    def _expires_at(self, i: int) -> float:
         if i + 1 == len(self.keys):
             return float("inf")
         return self.keys[i + 1].created_at + self.ahead + self.longest + 2 * CLOCK_SKEW_SECONDS
--- a/herongap/fleet/worlds.py
+++ b/herongap/fleet/worlds.py
@@ -1,11 +1,11 @@
 """Small worlds in which the shipped state machines are checked over all interleavings, with minicheck.
 
-`following` is a store with two keys, a leader, a member that lags, and one follower whose stream may be cut,
-repeated, fragmented or overtaken by a compaction at any moment. `leasing` is a lease server and two
+`following` is a store with two keys, a leader, a member that lags, and one follower whose stream may be
+cut, repeated, fragmented or overtaken by a compaction at any moment. `leasing` is a lease server and two
 controllers that want one number. What moves in them is `herongap.etcd.PrefixFollower` and `Membership`
-themselves: each step makes the machine from its state, calls it, and takes the state off again. `settling` is
-a store with one document and two writers, `herongap.accord.Ledger` themselves. `broken` puts a machine with a mistake
-in its place, to see that the mistake is found.
+themselves: each step makes the machine from its state, calls it, and takes the state off again. `settling`
+is a store with one document and two writers, `herongap.accord.Ledger` themselves. `broken` puts a machine
+with a mistake in its place, to see that the mistake is found.
 """
 
 from collections.abc import Iterator
