--- a/herongap/sdp/answer.py
+++ b/herongap/sdp/answer.py
@@ -1,6 +1,6 @@
-"""Offers and answers made: what our stand-ins and the front's load tools say of themselves.
+"""Creates offers and answers for the stand-ins and load tools, which exchange no media.
 
-Written so that an independent WebRTC stack takes them; no media flows.
+An independent WebRTC implementation accepts them.
 """
 
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 from herongap.sdp.offer import Offer, SdpError
 
-# Codecs by preference; a media section is answered with the first that was offered.
+# Codecs in order of preference; a media section is answered with the first one that was offered.
 CODECS = {"video": ("VP8", "H264", "VP9", "AV1"), "audio": ("opus", "PCMU")}
 REVERSED = {"recvonly": "sendonly", "sendonly": "recvonly", "sendrecv": "sendonly", "inactive": "inactive"}
 
 
 class Endpoint(NamedTuple):
-    """One end of a session: credentials (RFC 8839), certificate digest and where it listens."""
+    """One end of a session: ICE credentials (RFC 8839), certificate fingerprint, address and session ID."""
 
     ufrag: str
     pwd: str
@@ -25,28 +25,31 @@
     session: int
 
 
-def create_answer(offered: Offer, me: Endpoint) -> str:
-    """An ICE-lite answer that takes every section with a codec of ours and refuses the others."""
+def create_answer(offered: Offer, local: Endpoint) -> str:
+    """An ICE-lite answer that accepts each section with a known codec and rejects the others.
+
+    Raises SdpError if no section can be accepted.
+    """
     sections, mids = [], []
     # RFC 9725, 4.2: the answerer is passive, so that the client starts DTLS.
     direction = "sendonly" if offered.direction == "recvonly" else "recvonly"
     for media in offered.parsed["media"]:
-        chosen = _codec(media)
-        if chosen is None:
-            sections.append({**_bare(media), "port": 0, "direction": "inactive"})
+        codec = _choose_codec(media)
+        if codec is None:
+            sections.append({**_section_base(media), "port": 0, "direction": "inactive"})
             continue
         mids.append(str(media.get("mid", "0")))
         sections.append(
             {
-                **_bare(media),
+                **_section_base(media),
                 "port": 9,
-                "payloads": str(chosen["payload"]),
-                "rtp": [chosen],
-                "fmtp": [f for f in media.get("fmtp", ()) if f["payload"] == chosen["payload"]],
+                "payloads": str(codec["payload"]),
+                "rtp": [codec],
+                "fmtp": [f for f in media.get("fmtp", ()) if f["payload"] == codec["payload"]],
                 "direction": direction,
-                **_transport(me, "passive"),
+                **_transport(local, "passive"),
                 **(
-                    {"ssrcs": [{"id": me.session % (1 << 32), "attribute": "cname", "value": "herongap"}]}
+                    {"ssrcs": [{"id": local.session % (1 << 32), "attribute": "cname", "value": "herongap"}]}
                     if direction == "sendonly"
                     else {}
                 ),
@@ -54,23 +57,23 @@
         )
     if not mids:
         raise SdpError("no codec in common")
-    return _write(me, sections, mids, icelite="ice-lite")
+    return _write(local, sections, mids, icelite="ice-lite")
 
 
-def _transport(me: Endpoint, setup: str) -> dict:
-    """How this endpoint is reached: one candidate, all there will be, and who begins DTLS (RFC 8842)."""
+def _transport(local: Endpoint, setup: str) -> dict:
+    """The transport attributes of a section: its only candidate, and the DTLS role (RFC 8842)."""
     return {
         "rtcpMux": "rtcp-mux",
         "setup": setup,
-        "iceUfrag": me.ufrag,
-        "icePwd": me.pwd,
-        "fingerprint": {"type": "sha-256", "hash": me.fingerprint},
-        "candidates": [_candidate(me)],
+        "iceUfrag": local.ufrag,
+        "icePwd": local.pwd,
+        "fingerprint": {"type": "sha-256", "hash": local.fingerprint},
+        "candidates": [_candidate(local)],
         "endOfCandidates": "end-of-candidates",
     }
 
 
-def create_offer(me: Endpoint, direction: str) -> str:
+def create_offer(local: Endpoint, direction: str) -> str:
     """An offer of one audio and one video section, "recvonly" or "sendonly"."""
     rtp = {
         "audio": [{"payload": 111, "codec": "opus", "rate": 48000, "encoding": 2}],
@@ -89,13 +92,14 @@
                 "rtp": codecs,
                 "fmtp": [],
                 "direction": direction,
-                **_transport(me, "actpass"),
+                **_transport(local, "actpass"),
             }
         )
-    return _write(me, sections, ["0", "1"], iceOptions="trickle")
+    return _write(local, sections, ["0", "1"], iceOptions="trickle")
 
 
-def _bare(media: dict) -> dict:
+def _section_base(media: dict) -> dict:
+    """The parts of an offered section that every answer to it repeats."""
     payloads = str(media["payloads"])
     return {
         "type": media["type"],
@@ -108,31 +112,31 @@
     }
 
 
-def _codec(media: dict) -> dict | None:
+def _choose_codec(media: dict) -> dict | None:
     names = CODECS.get(media.get("type"), ())
     offered = {str(r["codec"]).lower(): r for r in reversed(media.get("rtp", ()))}
     return next((offered[name.lower()] for name in names if name.lower() in offered), None)
 
 
-def _candidate(me: Endpoint) -> dict:
+def _candidate(local: Endpoint) -> dict:
     return {
         "foundation": "1",
         "component": 1,
         "protocol": "udp",
         "priority": 2130706431,
-        "ip": me.address,
-        "port": me.port,
+        "ip": local.address,
+        "port": local.port,
         "type": "host",
     }
 
 
-def _write(me: Endpoint, sections: list[dict], mids: list[str], **more) -> str:
+def _write(local: Endpoint, sections: list[dict], mids: list[str], **session_attributes) -> str:
     return sdp_transform.write(
         {
             "version": 0,
             "origin": {
                 "username": "-",
-                "sessionId": me.session,
+                "sessionId": local.session,
                 "sessionVersion": 1,
                 "netType": "IN",
                 "ipVer": 4,
@@ -141,7 +145,7 @@
             "name": "-",
             "timing": {"start": 0, "stop": 0},
             "groups": [{"type": "BUNDLE", "mids": " ".join(mids)}],
-            **more,
+            **session_attributes,
             "media": sections,
         }
     )
--- a/herongap/sdp/fragment.py
+++ b/herongap/sdp/fragment.py
@@ -1,4 +1,4 @@
-"""Trickle ICE fragments (`application/trickle-ice-sdpfrag`, RFC 8840), as PATCH carries them."""
+"""Trickle ICE fragments (`application/trickle-ice-sdpfrag`, RFC 8840), the bodies of PATCH requests."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Fragment(NamedTuple):
-    """A fragment: credentials, candidates as (mid, candidate), and whether there are no more."""
+    """A fragment: ICE credentials, candidates as (mid, candidate), and whether the list is complete."""
 
     ufrag: str
     pwd: str
@@ -15,18 +15,18 @@
 
 
 def read_fragment(body: bytes) -> Fragment:
-    """Raises BadSdp for what RFC 8840 does not allow."""
+    """Parse a fragment; raises SdpError for anything that RFC 8840 does not allow."""
     try:
         lines = body.decode("utf-8").splitlines()
-    except UnicodeDecodeError as fault:
-        raise SdpError("not UTF-8") from fault
+    except UnicodeDecodeError as error:
+        raise SdpError("not UTF-8") from error
     ufrag = pwd = mid = ""
     candidates, complete, media = [], False, False
     for number, line in enumerate(lines, 1):
         if not line:
             continue
         if line[1:2] != "=" or line[0] not in "am":
-            raise SdpError(f"line {number}: only a= and m= lines stand in a fragment")
+            raise SdpError(f"line {number}: a fragment may contain only a= and m= lines")
         if line[0] == "m":
             media = True
             continue
@@ -41,21 +41,21 @@
             if not media:
                 raise SdpError(f"line {number}: a candidate before any m= line")
             if len(value.split()) < 8:
-                raise SdpError(f"line {number}: a candidate has at least eight fields")
+                raise SdpError(f"line {number}: a candidate needs at least eight fields")
             candidates.append((mid, value))
         elif name == "end-of-candidates":
             complete = True
     if not ufrag or not pwd:
-        raise SdpError("a fragment names its ice-ufrag and ice-pwd")
+        raise SdpError("a fragment must contain ice-ufrag and ice-pwd")
     return Fragment(ufrag, pwd, tuple(candidates), complete)
 
 
 def write_fragment(fragment: Fragment) -> bytes:
-    """A fragment's text, one media section."""
+    """The text of a fragment, with one media section for each mid."""
     lines = [f"a=ice-ufrag:{fragment.ufrag}", f"a=ice-pwd:{fragment.pwd}"]
     mids = sorted({mid for mid, _ in fragment.candidates}) or ["0"]
     for mid in mids:
         lines += ["m=audio 9 UDP/TLS/RTP/SAVPF 0", f"a=mid:{mid}"]
-        lines += [f"a=candidate:{text}" for of, text in fragment.candidates if of == mid]
+        lines += [f"a=candidate:{text}" for section, text in fragment.candidates if section == mid]
         lines += ["a=end-of-candidates"] * fragment.complete
     return ("\r\n".join(lines) + "\r\n").encode()
