--- a/herongap/http.py
+++ b/herongap/http.py
@@ -1,4 +1,4 @@
-"""HTTP messages as plain values, and the headers that WHIP, WHEP and their neighbours share. No I/O."""
+"""HTTP messages as plain values, problem documents, and the headers shared by the protocols. No I/O."""
 
 import json
 import re
@@ -9,7 +9,7 @@
 
 from herongap.errors import Unusable
 
-# One stable `type` (RFC 9457) for each cause that a client may meet: its status and title.
+# Status and title of each problem type (RFC 9457); the types are stable, so that clients can rely on them.
 PROBLEMS = {
     "bad-request": (400, "The request cannot be read"),
     "bad-sdp": (400, "The session description cannot be used"),
@@ -51,14 +51,14 @@
 
 
 class UrlError(Unusable):
-    """An address of a streamer or of a member that is no http URL."""
+    """The address of a streamer or a member is not an http URL."""
 
-    advice = "write it as http://HOST:PORT in the list, or in the file that names it"
+    advice = "write it as http://HOST:PORT in the list, or in the file that contains it"
 
 
 @dataclass(slots=True)
 class Request:
-    """A request that has been read whole. Header names are in lower case; repeated ones joined by commas."""
+    """A complete request. Header names are in lower case; repeated headers are joined with commas."""
 
     method: str
     target: str
@@ -68,54 +68,59 @@
 
     @property
     def path(self) -> list[str]:
-        """The path's segments, decoded one by one, so that an escaped slash stays inside its own."""
+        """The path's segments, each decoded on its own, so that an escaped slash does not split one."""
         return [unquote(part) for part in urlsplit(self.target).path.split("/")[1:]]
 
     @property
     def query(self) -> dict[str, str]:
-        """The query's keys, the last of each."""
+        """The query's arguments; the last value of a repeated one counts."""
         return {k: v[-1] for k, v in parse_qs(urlsplit(self.target).query, keep_blank_values=True).items()}
 
     @property
     def media_type(self) -> str:
+        """The media type of the body without parameters, in lower case."""
         return self.headers.get("content-type", "").partition(";")[0].strip().lower()
 
 
 class Reply(NamedTuple):
-    """A reply; `body` may be an iterable of chunks, which are sent as they come."""
+    """A response; `body` may be an iterable of chunks, each of which is sent at once."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes | Iterable[bytes] = b""
 
     def header(self, name: str) -> str | None:
+        """The first header of this name, in any case; None without one."""
         return next((value for key, value in self.headers if key.lower() == name.lower()), None)
 
 
-def problem(kind: str, detail: str = "", headers: Iterable[tuple[str, str]] = (), **more) -> Reply:
-    """An error in `application/problem+json`; `kind` is a key of PROBLEMS."""
+def problem(kind: str, detail: str = "", headers: Iterable[tuple[str, str]] = (), **extensions) -> Reply:
+    """An error response in `application/problem+json`; `kind` is a key of PROBLEMS.
+
+    Keyword arguments become extension members of the document.
+    """
     status, title = PROBLEMS[kind]
     body = {
         "type": PROBLEM_URN + kind,
         "title": title,
         "status": status,
         **({"detail": detail} if detail else {}),
-        **more,
+        **extensions,
     }
     return Reply(status, (("Content-Type", PROBLEM_JSON), *headers), json.dumps(body).encode())
 
 
 def problem_kind(body: bytes) -> str:
-    """The cause that a problem document names, "" where it is none of ours."""
+    """The key of PROBLEMS in a problem document; "" for any other document."""
     try:
-        named = json.loads(body).get("type", "")
+        problem_type = json.loads(body).get("type", "")
     except (ValueError, AttributeError):
         return ""
-    return named.removeprefix(PROBLEM_URN) if isinstance(named, str) else ""
+    return problem_type.removeprefix(PROBLEM_URN) if isinstance(problem_type, str) else ""
 
 
 def parse_url(url: str) -> tuple[str, int]:
-    """Host and port of a streamer's URL; raises ValueError for any other than http://HOST:PORT."""
+    """Host and port of a streamer's URL; raises UrlError for any other form than http://HOST:PORT."""
     try:
         parts = urlsplit(url)
         if parts.scheme == "http" and parts.hostname and parts.port:
@@ -138,7 +143,7 @@
 
 
 def read_links(value: str) -> list[LinkTarget]:
-    """The targets of a Link header; what cannot be read is passed over, as RFC 8288 asks."""
+    """The targets of a Link header; invalid parts are ignored, as RFC 8288 requires."""
     found = []
     for match in _LINK.finditer(value):
         params = {name.lower(): quoted or bare for name, quoted, bare in _PARAM.findall(match[2])}
@@ -148,8 +153,8 @@
 
 def link(url: str, rel: str, **params: str) -> tuple[str, str]:
     """A Link header with one target."""
-    more = "".join(f'; {name}="{value}"' for name, value in params.items())
-    return "Link", f'<{url}>; rel="{rel}"{more}'
+    parameters = "".join(f'; {name}="{value}"' for name, value in params.items())
+    return "Link", f'<{url}>; rel="{rel}"{parameters}'
 
 
 def bearer_token(request: Request) -> str | None:
@@ -159,13 +164,13 @@
 
 
 def etag_matches(request: Request, tag: str) -> bool:
-    """Whether If-Match (RFC 9110, 13.1.1; strong comparison) names this entity tag."""
-    given = [part.strip() for part in request.headers.get("if-match", "").split(",")]
-    return "*" in given or tag in given
+    """Whether If-Match (RFC 9110, 13.1.1; strong comparison) lists this entity tag or *."""
+    listed = [part.strip() for part in request.headers.get("if-match", "").split(",")]
+    return "*" in listed or tag in listed
 
 
 def preferred_wait(request: Request) -> float | None:
-    """The seconds of `Prefer: wait` (RFC 7240, 4.3), by which a client tells how long it will wait."""
+    """The seconds of `Prefer: wait` (RFC 7240, 4.3), which say how long the client will wait."""
     for part in request.headers.get("prefer", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "wait" and re.fullmatch(r"\d{1,4}(\.\d{1,3})?", value.strip().strip('"')):
--- a/herongap/orca.py
+++ b/herongap/orca.py
@@ -1,8 +1,8 @@
-"""Load in answers: the ORCA header `endpoint-load-metrics` in its JSON form. No I/O.
+"""Load reports in responses: the ORCA header `endpoint-load-metrics` in its JSON form. No I/O.
 
-Named metrics: `link`, what is asked of a streamer's link over what it gives, and `rack`, the same of its
-rack's uplink. A figure that a deployment does not report is absent. `application_utilization` stands for
-`link` where a server reports only that; it is capped at 1 by many, and is then told as such.
+Named metrics: `link` is the requested over the available throughput of a streamer's link, `rack` the same for
+its rack's uplink. A metric that a deployment does not report is absent. `application_utilization` replaces
+`link` where a server reports only that; many servers cap it at 1, so it is reported as a capped value.
 """
 
 import json
@@ -14,11 +14,11 @@
 
 
 def read_load(value: str | None) -> LoadReport | None:
-    """The load in a header's value; None where there is none, or none that can be read."""
+    """The load in a header's value; None without a readable one."""
     if not value:
         return None
-    form, _, text = value.strip().partition(" ")
-    if form.upper() != "JSON":
+    encoding, _, text = value.strip().partition(" ")
+    if encoding.upper() != "JSON":
         return None
     try:
         report = json.loads(text)
@@ -31,7 +31,7 @@
 
 
 def write_load(load: LoadReport) -> str:
-    """A header's value."""
+    """The header's value for a load."""
     named = {
         name: round(value, 4)
         for name, value in (("link", load.link), ("rack", load.rack))
@@ -44,8 +44,8 @@
 
 
 def _ratio(value) -> float | None:
-    # A streamer's word steers placing: what is no figure at all must not reach the module.
-    fine = (
+    # Reported loads influence placement, so anything that is not a finite number from 0 up is dropped.
+    valid = (
         isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value) and value >= 0
     )
-    return float(value) if fine else None
+    return float(value) if valid else None
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -347,7 +347,7 @@
                 continue
             mine = message[2].partition(":")[0]
             for session in self.sessions.values():
-                if session.resource and session.resource.me.ufrag == mine:
+                if session.resource and session.resource.local.ufrag == mine:
                     session.consent = self.clock()
                     self.media.sendto(stun.success(message[1]), sender)
                     break
--- a/herongap/whep/__init__.py
+++ b/herongap/whep/__init__.py
@@ -1,4 +1,4 @@
-"""WHEP (draft-ietf-wish-whep): its event and layer extensions, without I/O. The rest is shared with WHIP."""
+"""The event and layer extensions of WHEP (draft-ietf-wish-whep), without I/O; `whip` has what both share."""
 
 from herongap.whep.events import EventReader, write_event
 from herongap.whep.layers import read_layer, write_layer
--- a/herongap/whep/events.py
+++ b/herongap/whep/events.py
@@ -1,8 +1,9 @@
 """Server-sent events (WHATWG HTML, 9.2), as a WHEP server streams them.
 
-Beside the draft's `active`, `inactive`, `layers` and `viewercount`, streamers tell `load` ({"link", "rack"}:
-what is asked over what is given) and `delivery` ({"share"}: delivered over asked). An `inactive` of one
-session names its `resource` and a `reason`. What is not known is passed over, as the draft asks.
+Besides the draft's `active`, `inactive`, `layers` and `viewercount`, streamers send `load` ({"link", "rack"}:
+requested over available throughput) and `delivery` ({"share"}: delivered over requested throughput). An
+`inactive` of a single session carries its `resource` and a `reason`. Unknown events are ignored, as the draft
+requires.
 """
 
 import json
@@ -10,31 +11,31 @@
 from herongap.errors import Unusable
 
 HEARTBEAT = b":\n\n"
-MAX_EVENT_BYTES = 65536  # bytes of one event; more is no event of ours
+MAX_EVENT_BYTES = 65536  # a longer event is an error
 
 
 class EventError(Unusable):
-    """An event of a stream that cannot be read."""
+    """An event stream cannot be read."""
 
-    advice = "see the streamer; its stream is made anew"
+    advice = "see the streamer; the event stream is opened again"
 
 
 class EventReader:
-    """Cuts a stream into events, however its bytes are split."""
+    """Splits a stream into events, however its bytes are chunked."""
 
     def __init__(self):
         self._rest = b""
 
     def feed(self, data: bytes) -> list[tuple[str, dict]]:
-        """The events that are whole now, as (name, data)."""
+        """The events completed by these bytes, as (name, data); raises EventError."""
         self._rest += data.replace(b"\r\n", b"\n")
-        *whole, self._rest = self._rest.split(b"\n\n")
+        *blocks, self._rest = self._rest.split(b"\n\n")
         if len(self._rest) > MAX_EVENT_BYTES:
             raise EventError("an event without an end")
-        return [event for block in whole if (event := _read(block))]
+        return [event for block in blocks if (event := _parse(block))]
 
 
-def _read(block: bytes) -> tuple[str, dict] | None:
+def _parse(block: bytes) -> tuple[str, dict] | None:
     name, data = "message", []
     for line in block.decode("utf-8", "replace").split("\n"):
         field, _, value = line.partition(":")
@@ -51,4 +52,5 @@
 
 
 def write_event(name: str, data: dict) -> bytes:
+    """One event of a stream."""
     return f"event: {name}\ndata: {json.dumps(data)}\n\n".encode()
