--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -9,10 +9,10 @@
 
 from herongap.accord import Terms
 from herongap.daemon.budgets import Budgets
-from herongap.daemon.feed import epoch
+from herongap.daemon.file_watcher import epoch_on_clock
+from herongap.daemon.http_connection import ClientConnection, ConnectionPool, PeerDisconnectedError
+from herongap.daemon.list_cache import ListCache
 from herongap.daemon.listen import read_address
-from herongap.daemon.remembered import Remembered
-from herongap.daemon.wire import Call, Hung, Pool
 from herongap.etcd import (
     EndpointSelector,
     EtcdError,
@@ -30,16 +30,16 @@
 
 DOUBT = 0.1  # seconds between two looks at whether the lease still holds; CLOCK_MARGIN_SECONDS covers it
 PAGE = 1000  # keys of one page of a read
-NETWORK = (OSError, Hung, h11.RemoteProtocolError, EtcdError, m.MalformedReplyError)
+NETWORK_ERRORS = (OSError, PeerDisconnectedError, h11.RemoteProtocolError, EtcdError, m.MalformedReplyError)
 log = structlog.get_logger()
 
 
-class Client:
+class EtcdClient:
     """Unary calls to one cluster, with its token where it asks for one."""
 
     def __init__(self, terms: Etcd, name: str):
         self.terms, self.name, self.token = terms, name, ""
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, ConnectionPool] = {}
 
     def headers(self, address: str) -> list[tuple[str, str]]:
         """The headers of any request, with a token made there if one is needed and missing."""
@@ -64,7 +64,7 @@
     def _call(self, address: str, path: str, body: bytes, kind: type, headers: list[tuple[str, str]]):
         pool = self.pools.get(address)
         if pool is None:
-            pool = self.pools[address] = Pool(read_address(address), self.terms.connect)
+            pool = self.pools[address] = ConnectionPool(read_address(address), self.terms.connect)
         reply = pool.call("POST", path, headers, body, self.terms.time_out)
         if reply.status != 200:
             raise m.decode_error(reply.body)
@@ -84,7 +84,7 @@
             pool.close()
 
 
-class Feed:
+class StreamerRegistry:
     """The list of streamers over etcd, for one controller.
 
     `listed(kind, lines, addresses)` is told of every change, `counted(rank, count)` of every change of this
@@ -95,23 +95,23 @@
                  listed: Callable, counted: Callable, budgets: tuple[Terms, ...] = (),
                  given: Callable = lambda name, room: None):  # fmt: skip
         self.terms, self.name, self.clock = terms, name, clock
-        self.listed, self.counted = listed, counted
-        self.client = Client(terms, name)
+        self.on_list_change, self.on_rank_change = listed, counted
+        self.client = EtcdClient(terms, name)
         self.endpoints = EndpointSelector(terms.endpoints, seed)
         # A member that is cut off from its peers still shows what it had, and takes nothing.
         self.takers = EndpointSelector(terms.endpoints, seed)
         self.follower = PrefixFollower()
-        self.directory = Registry(terms.prefix, epoch(clock))
+        self.directory = Registry(terms.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, terms.ttl)
         self.key = f"{terms.prefix}controllers/{number}"
         self.life, self.failing = -1, False  # the revision of our claim; whether a renewal has failed
-        carries = self._swap, NETWORK, self._claims, given
+        carries = self._swap, NETWORK_ERRORS, self._claims, given
         self.budgets = budgets and Budgets(budgets, terms.prefix, number, terms.ttl, seed, clock, *carries)
-        self.store = Remembered(terms.remembered) if terms.remembered else None
+        self.store = ListCache(terms.remembered) if terms.remembered else None
         self.known_at: float | None = None  # when the list was last known to be whole
         self.from_store, self.place = False, None
         self._owed = False
-        self._stream: Call | None = None
+        self._stream: ClientConnection | None = None
         self._stored = 0
 
     @property
@@ -123,7 +123,7 @@
             return "remembered" if self.from_store else "starting"
         return "reading" if self.follower.next_action is NextAction.READ else "lost"
 
-    def told(self) -> dict:
+    def status(self) -> dict:
         """Where the list stands, for operators."""
         f, now = self.follower, self.clock()
         age = None if self.known_at is None else round(now - self.known_at, 3)
@@ -135,7 +135,7 @@
             "drains": sorted(self.directory.drains),
             "controllers": controllers, "number": self.membership.number,
             "holds_number": self.membership.holds_number(now), "place": self.place and list(self.place),
-            "budgets": self.budgets.told() if self.budgets else {},
+            "budgets": self.budgets.status() if self.budgets else {},
         }  # fmt: skip
 
     def start(self) -> list:
@@ -161,7 +161,7 @@
                     self._read(address)
                 else:
                     self._watch(address)
-            except NETWORK as fault:
+            except NETWORK_ERRORS as fault:
                 self.endpoints.mark_failed(address)
                 if isinstance(fault, EtcdError) and fault.code == m.GRPC_UNAUTHENTICATED:
                     self.client.forget_token()
@@ -180,7 +180,7 @@
             body = m.range_body(first, m.prefix_end(self.terms.prefix), revision, PAGE)
             try:
                 reply = self.client.call(address, "/v3/kv/range", body, m.RangeResponse)
-            except NETWORK:
+            except NETWORK_ERRORS:
                 self.follower.abort_read()
                 raise
             told = self.follower.handle_page(reply)
@@ -196,7 +196,7 @@
     def _watch(self, address: str) -> None:
         turn, start = self.follower.start_watch()
         headers = self.client.headers(address)
-        call = self._stream = Call(read_address(address), self.terms.connect)
+        call = self._stream = ClientConnection(read_address(address), self.terms.connect)
         frames = LineSplitter()
         try:
             call.send("POST", "/v3/watch", headers, m.watch_body(self.terms.prefix, start))
@@ -269,7 +269,7 @@
         lines = self.directory.entries(touched) if kind == "changes" else self.directory.all_entries()
         if touched or kind != "changes":
             # Addresses of what has changed alone: a list of thousands changes a thousand times a second.
-            self.listed(kind, lines, self.directory.addresses(line.streamer for line in lines))
+            self.on_list_change(kind, lines, self.directory.addresses(line.streamer for line in lines))
         self._owed = False
         self._reckon()
 
@@ -283,7 +283,7 @@
             if step:
                 try:
                     self._ask(step, now)
-                except NETWORK as fault:
+                except NETWORK_ERRORS as fault:
                     self.membership.request_failed(self.clock())
                     self.failing = True
                     log.warning("lease not kept", step=step.value, cause=repr(fault))
@@ -326,7 +326,7 @@
         address = self.takers.choose(self.clock())
         try:
             reply = self.client.call(address, path, body, kind)
-        except NETWORK:
+        except NETWORK_ERRORS:
             self.takers.mark_failed(address)
             raise
         self.takers.mark_healthy(address)
@@ -359,7 +359,7 @@
         place = self.membership.rank_among(self.clock(), live)
         if place != self.place:
             self.place = place
-            self.counted(*place)
+            self.on_rank_change(*place)
 
     # The store.
 
@@ -383,7 +383,7 @@
                 body = m.lease_body(self.membership.lease)
                 with gevent.Timeout(0.5, OSError("too slow")):
                     self._take("/v3/lease/revoke", body, m.LeaseResponse)
-            except NETWORK as fault:
+            except NETWORK_ERRORS as fault:
                 log.info("lease left to run out", cause=repr(fault))
         if self.store:
             self._save()
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -10,12 +10,12 @@
 from gevent.event import Event
 from gevent.queue import Empty, Queue
 
+from herongap.daemon.http_connection import Peer, PeerDisconnectedError, Server
 from herongap.daemon.listen import listen
-from herongap.daemon.wire import Hung, Peer, Server
 from herongap.fleet.machine import Machine, Session
 from herongap.http import SDP, Reply, Request, link, problem
-from herongap.intake import Bounds
 from herongap.orca import LOAD_HEADER, write_load
+from herongap.overload import ProcessLimits
 from herongap.sdp import Endpoint, SdpError, create_answer
 from herongap.standins import stun
 from herongap.standins.segments import Segments
@@ -65,7 +65,7 @@
         """Start the process: listen for HTTP, and for consent on UDP of the same address."""
         listener = listen(self.address)
         self.address = listener.getsockname()
-        self.server = Server(listener, self.handle, Bounds(idle_seconds=120.0, body=1 << 20))
+        self.server = Server(listener, self.handle, ProcessLimits(idle_seconds=120.0, body=1 << 20))
         self.media = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.media.bind(("127.0.0.1", 0))
         self.boot += 1
@@ -115,7 +115,7 @@
         peer.wait(self.cut_off, 600.0)
         if identity:
             self.log(self.name, "hung-up", identity=identity)
-        raise Hung
+        raise PeerDisconnectedError
 
     # HTTP.
 
@@ -176,7 +176,7 @@
         if slow := self.faults.get("slow"):
             delay += slow["by"]
         if not self._pause(peer, delay, identity):
-            raise Hung
+            raise PeerDisconnectedError
         if (bad := self.faults.get("fail")) and self.farm.random.random() < bad.get("part", 1.0):
             return self._refuse(identity, problem("internal"))
         if self.machine.fallen or not self.running:
@@ -218,7 +218,7 @@
             with suppress(OSError):
                 peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.sock.close()
-            raise Hung
+            raise PeerDisconnectedError
         links = [link(f"/r/{name}/layer", LAYERS_EXTENSION)]
         if protocol != "whip":
             links.append(
