--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -111,10 +111,10 @@
 
 
 def _stands(store: Store) -> dict:
-    from herongap.etcd import KeyChange, KeyEntry, Registry
+    from herongap.etcd import KeyChange, KeyEntry, RegistryState
 
     revision, found = store.read()
-    directory = Registry(store.terms.prefix, 0.0)
+    directory = RegistryState(store.terms.prefix, 0.0)
     directory.apply(
         0.0, [KeyChange(key, None, KeyEntry(value, 0, 0)) for key, value in found.items()], first=True
     )
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -22,7 +22,7 @@
     MessageOutcome,
     NextAction,
     PrefixFollower,
-    Registry,
+    RegistryState,
 )
 from herongap.etcd import messages as m
 from herongap.etcd.keys import update_value
@@ -101,7 +101,7 @@
         # A member that is cut off from its peers still shows what it had, and takes nothing.
         self.takers = EndpointSelector(terms.endpoints, seed)
         self.follower = PrefixFollower()
-        self.directory = Registry(terms.prefix, epoch_on_clock(clock))
+        self.directory = RegistryState(terms.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, terms.ttl)
         self.key = f"{terms.prefix}controllers/{number}"
         self.life, self.failing = -1, False  # the revision of our claim; whether a renewal has failed
--- a/herongap/etcd/__init__.py
+++ b/herongap/etcd/__init__.py
@@ -4,7 +4,7 @@
 from herongap.etcd.follower import KeyChange, KeyEntry, MessageOutcome, NextAction, PrefixFollower
 from herongap.etcd.membership import LeaseRequest, Membership
 from herongap.etcd.messages import EtcdError, LineSplitter
-from herongap.etcd.registry import Registry
+from herongap.etcd.registry_state import RegistryState
 
 __all__ = [
     "EndpointSelector",
@@ -17,5 +17,5 @@
     "MessageOutcome",
     "NextAction",
     "PrefixFollower",
-    "Registry",
+    "RegistryState",
 ]
--- a/herongap/etcd/registry.py
+++ b/herongap/etcd/registry_state.py
@@ -12,7 +12,7 @@
 from herongap.interface import StreamerEntry, StreamerStatus
 
 
-class Registry:
+class RegistryState:
     """Streamers, drains and controllers under a prefix.
 
     `epoch` is the host clock's reading at the Unix epoch, in which streamers state their start time.
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -30,7 +30,7 @@
     MessageOutcome,
     NextAction,
     PrefixFollower,
-    Registry,
+    RegistryState,
 )
 from herongap.etcd import messages as m
 from herongap.etcd.keys import InvalidValueError, decode_value, split_key, update_value
@@ -270,7 +270,7 @@
 
 
 def test_bad_values_are_refused_one_by_one_and_the_last_good_one_stays():
-    d = Registry(PREFIX, 0.0)
+    d = RegistryState(PREFIX, 0.0)
     good = change("streamers/a", streamer(zone="z"))
     assert d.apply(1.0, [good, change("streamers/b", b"{"), change("streamers/c", streamer(url="x"))]) == {
         "a"
@@ -288,7 +288,7 @@
 
 
 def test_a_drain_counts_whatever_its_value_and_outlives_a_new_put():
-    d = Registry(PREFIX, 0.0)
+    d = RegistryState(PREFIX, 0.0)
     d.apply(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
     assert d.entry("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in d.bad_values
     d.apply(2.0, [change("streamers/a", streamer(zone="n"), old=KeyEntry(streamer(), 1, 1), mod=2)])
@@ -298,7 +298,7 @@
 
 
 def test_who_came_while_it_was_watched_or_was_replaced_is_cold():
-    d = Registry(PREFIX, 100.0)
+    d = RegistryState(PREFIX, 100.0)
     d.apply(
         5.0, [change("streamers/a", streamer()), change("streamers/b", streamer(started=-40.0))], first=True
     )
