--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -1,4 +1,4 @@
-"""etcd: messages, the follower, the schema, leases, and the whole way with the stand-in on loopback."""
+"""etcd: messages, the follower, the stored keys, leases, and end-to-end tests with a stand-in on loopback."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 from test_rehearsal import DAY
 
 from herongap.accord import Division, Kind
-from herongap.accord import Terms as Whole
+from herongap.accord import Terms as BudgetTerms
 from herongap.accord.ledger import write
 from herongap.accord.shares import divided
 from herongap.cli import main
@@ -32,7 +32,7 @@
     PrefixFollower,
     RegistryState,
 )
-from herongap.etcd import messages as m
+from herongap.etcd import messages as messages
 from herongap.etcd.keys import InvalidValueError, decode_value, split_key, update_value
 from herongap.fleet import worlds
 from herongap.fleet.checker import check
@@ -43,47 +43,54 @@
 from herongap.standins.etcd import Etcd, History, fill, put
 
 PREFIX = "/herongap/"
-HEAD = m.ResponseHeader(7, 1, 10)
+HEADER = messages.ResponseHeader(7, 1, 10)
 
 
 def kv(key, mod, create=None, value=b"{}"):
-    return m.KeyValue(key.encode(), value, create or mod, mod)
+    return messages.KeyValue(key.encode(), value, create or mod, mod)
 
 
-def head(revision, cluster=7):
-    return m.ResponseHeader(cluster, 1, revision)
+def header(revision, cluster=7):
+    return messages.ResponseHeader(cluster, 1, revision)
 
 
 def event(key, mod, kind="PUT", **more):
-    return m.Event(kv(key, mod, **more), kind)
+    return messages.Event(kv(key, mod, **more), kind)
 
 
 def following(*kvs, revision=10):
-    f = PrefixFollower()
-    assert f.handle_page(m.RangeResponse(head(revision), list(kvs))) is MessageOutcome.APPLIED
-    turn, start = f.start_watch()
+    """A follower that has read these keys and watches, and the number of its watch."""
+    follower = PrefixFollower()
+    assert follower.handle_page(messages.RangeResponse(header(revision), list(kvs))) is MessageOutcome.APPLIED
+    watch_number, start = follower.start_watch()
     assert (
         start == revision + 1
-        and f.handle_watch(turn, m.WatchResponse(head(revision), created=True)) is MessageOutcome.APPLIED
+        and follower.handle_watch(watch_number, messages.WatchResponse(header(revision), created=True))
+        is MessageOutcome.APPLIED
     )
-    f.take_changes()
-    return f, turn
+    follower.take_changes()
+    return follower, watch_number
 
 
 # Messages.
 
 
-def test_a_message_is_read_as_the_gateway_writes_it():
+def test_stream_message_is_decoded():
     line = (
         b'{"result":{"header":{"cluster_id":"14841639068965178418","revision":"42","raft_term":"2"},'
         b'"events":[{"kv":{"key":"L2E=","create_revision":"5","mod_revision":"42","version":"3","value":"eA=="}},'
         b'{"type":"DELETE","kv":{"key":"L2I=","mod_revision":"42"}}]}}'
     )
-    told = m.decode_stream_line(line, m.WatchResponse)
-    assert told.header.cluster_id == 14841639068965178418 and told.header.revision == 42
-    put_, gone = told.events
-    assert (put_.kv.key, put_.kv.value, put_.kv.create_revision, put_.type) == (b"/a", b"x", 5, "PUT")
-    assert (gone.kv.key, gone.kv.mod_revision, gone.type) == (b"/b", 42, "DELETE")
+    response = messages.decode_stream_line(line, messages.WatchResponse)
+    assert response.header.cluster_id == 14841639068965178418 and response.header.revision == 42
+    put_event, delete_event = response.events
+    assert (put_event.kv.key, put_event.kv.value, put_event.kv.create_revision, put_event.type) == (
+        b"/a",
+        b"x",
+        5,
+        "PUT",
+    )
+    assert (delete_event.kv.key, delete_event.kv.mod_revision, delete_event.type) == (b"/b", 42, "DELETE")
 
 
 @pytest.mark.parametrize(
@@ -96,20 +103,20 @@
         (b'{"error":{"code":16,"message":"etcdserver: invalid auth token"}}', 16),
     ],
 )
-def test_a_refusal_in_a_stream_is_told_with_its_code(line, code):
-    with pytest.raises(m.EtcdError) as refused:
-        m.decode_stream_line(line, m.WatchResponse)
+def test_stream_error_is_raised_with_its_code(line, code):
+    with pytest.raises(messages.EtcdError) as refused:
+        messages.decode_stream_line(line, messages.WatchResponse)
     assert refused.value.code == code and refused.value.compacted == (code == 11)
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_break_the_parsers_in_another_way_than_they_say(data):
+def test_parsers_raise_only_their_documented_errors(data):
     for read in (
-        lambda d: m.decode_stream_line(d, m.WatchResponse),
-        lambda d: m.decode_reply(d, m.RangeResponse),
-        lambda d: m.decode_reply(d, m.LeaseResponse),
+        lambda d: messages.decode_stream_line(d, messages.WatchResponse),
+        lambda d: messages.decode_reply(d, messages.RangeResponse),
+        lambda d: messages.decode_reply(d, messages.LeaseResponse),
     ):
-        with suppress(m.MalformedReplyError, m.EtcdError):
+        with suppress(messages.MalformedReplyError, messages.EtcdError):
             read(data)
     for kind in ("streamers", "drains", "controllers"):
         with suppress(InvalidValueError):
@@ -117,127 +124,160 @@
 
 
 @given(st.lists(st.binary(max_size=20).map(lambda b: b.replace(b"\n", b"")), max_size=8), st.data())
-def test_lines_come_whole_however_the_stream_is_cut(lines, data):
-    stream, frames, got = b"".join(line + b"\n" for line in lines), LineSplitter(), []
+def test_line_splitter_is_independent_of_chunking(lines, data):
+    stream, splitter, got = b"".join(line + b"\n" for line in lines), LineSplitter(), []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
-        got += frames.feed(stream[:cut])
+        got += splitter.feed(stream[:cut])
         stream = stream[cut:]
     assert got == [line for line in lines if line.strip()]
 
 
-def test_a_line_without_end_is_refused_not_kept(monkeypatch):
-    monkeypatch.setattr(m, "MAX_LINE_BYTES", 100)
-    frames = LineSplitter()
-    frames.feed(b"x" * 90)
-    with pytest.raises(m.MalformedReplyError):
-        frames.feed(b"x" * 20)
+def test_line_splitter_rejects_a_line_over_the_maximum(monkeypatch):
+    monkeypatch.setattr(messages, "MAX_LINE_BYTES", 100)
+    splitter = LineSplitter()
+    splitter.feed(b"x" * 90)
+    with pytest.raises(messages.MalformedReplyError):
+        splitter.feed(b"x" * 20)
 
 
 # The follower.
 
 
-def test_a_resync_tells_what_vanished_drained_and_was_replaced_while_away():
-    f, turn = following(kv("a", 5), kv("b", 6), kv("c", 7))
-    f.stop_watch(turn)
-    turn, start = f.start_watch()
+def test_read_after_compaction_reports_deleted_recreated_and_new_keys():
+    follower, watch_number = following(kv("a", 5), kv("b", 6), kv("c", 7))
+    follower.stop_watch(watch_number)
+    watch_number, start = follower.start_watch()
     assert start == 11
-    f.handle_watch(turn, m.WatchResponse(head(30), created=True))
+    follower.handle_watch(watch_number, messages.WatchResponse(header(30), created=True))
     assert (
-        f.handle_watch(turn, m.WatchResponse(head(30), canceled=True, compact_revision=25))
+        follower.handle_watch(
+            watch_number, messages.WatchResponse(header(30), canceled=True, compact_revision=25)
+        )
         is MessageOutcome.COMPACTED
     )
-    assert f.next_action is NextAction.READ
-    f.handle_page(m.RangeResponse(head(30), [kv("a", 5), kv("b", 22, create=22), kv("d", 29)]))
-    told = {change.key: change for change in f.take_changes()}
-    assert told.keys() == {"b", "c", "d"}
-    assert told["b"].recreated and told["c"].new is None and told["d"].old is None
+    assert follower.next_action is NextAction.READ
+    follower.handle_page(
+        messages.RangeResponse(header(30), [kv("a", 5), kv("b", 22, create=22), kv("d", 29)])
+    )
+    changes = {change.key: change for change in follower.take_changes()}
+    assert changes.keys() == {"b", "c", "d"}
+    assert changes["b"].recreated and changes["c"].new is None and changes["d"].old is None
 
 
-def test_an_empty_range_of_a_member_that_is_behind_is_not_believed():
-    f, turn = following(kv("a", 5))
-    f.handle_watch(turn, m.WatchResponse(head(40)))  # progress: another member has shown 40
-    f.stop_watch(turn)
-    f.next_action = NextAction.READ
-    assert f.handle_page(m.RangeResponse(head(39), [])) is MessageOutcome.MEMBER_BEHIND and "a" in f.items
-    assert f.handle_page(m.RangeResponse(head(40), [])) is MessageOutcome.APPLIED and not f.items
+def test_read_from_a_member_that_lags_behind_is_rejected():
+    follower, watch_number = following(kv("a", 5))
+    # A progress notification: another member has reached 40.
+    follower.handle_watch(watch_number, messages.WatchResponse(header(40)))
+    follower.stop_watch(watch_number)
+    follower.next_action = NextAction.READ
+    assert (
+        follower.handle_page(messages.RangeResponse(header(39), [])) is MessageOutcome.MEMBER_BEHIND
+        and "a" in follower.items
+    )
+    assert (
+        follower.handle_page(messages.RangeResponse(header(40), [])) is MessageOutcome.APPLIED
+        and not follower.items
+    )
 
 
-def test_fragments_count_when_whole_and_duplicates_never():
-    f, turn = following()
+def test_fragments_are_applied_together_and_duplicates_ignored():
+    follower, watch_number = following()
     assert (
-        f.handle_watch(turn, m.WatchResponse(head(11), events=[event("a", 11)], fragment=True))
+        follower.handle_watch(
+            watch_number, messages.WatchResponse(header(11), events=[event("a", 11)], fragment=True)
+        )
         is MessageOutcome.PARTIAL
     )
-    assert not f.items and f.revision == 10
-    f.stop_watch(turn)
-    turn, start = f.start_watch()
-    assert start == 11, "what came in part comes again"
-    f.handle_watch(turn, m.WatchResponse(head(10), created=True))
-    both = m.WatchResponse(head(12), events=[event("a", 11), event("b", 12), event("a", 12, "DELETE")])
+    assert not follower.items and follower.revision == 10
+    follower.stop_watch(watch_number)
+    watch_number, start = follower.start_watch()
+    assert start == 11, "incomplete fragments are delivered again"
+    follower.handle_watch(watch_number, messages.WatchResponse(header(10), created=True))
+    both = messages.WatchResponse(
+        header(12), events=[event("a", 11), event("b", 12), event("a", 12, "DELETE")]
+    )
     assert (
-        f.handle_watch(turn, both) is MessageOutcome.APPLIED and f.items.keys() == {"b"} and f.revision == 12
+        follower.handle_watch(watch_number, both) is MessageOutcome.APPLIED
+        and follower.items.keys() == {"b"}
+        and follower.revision == 12
     )
-    assert f.handle_watch(turn, both) is MessageOutcome.STALE and f.counts["old"] == 3
+    assert follower.handle_watch(watch_number, both) is MessageOutcome.STALE and follower.counts["old"] == 3
     assert (
-        f.handle_watch(turn - 1, m.WatchResponse(head(50), events=[event("z", 50)])) is MessageOutcome.STALE
-        and f.revision == 12
+        follower.handle_watch(watch_number - 1, messages.WatchResponse(header(50), events=[event("z", 50)]))
+        is MessageOutcome.STALE
+        and follower.revision == 12
     )
 
 
-def test_another_clusters_word_is_taken_only_when_every_member_gives_it():
-    f, turn = following(kv("a", 5))
+def test_other_cluster_is_followed_only_when_every_member_names_it():
+    follower, watch_number = following(kv("a", 5))
     assert (
-        f.handle_watch(turn, m.WatchResponse(head(99, cluster=8), events=[event("a", 99, "DELETE")]))
+        follower.handle_watch(
+            watch_number, messages.WatchResponse(header(99, cluster=8), events=[event("a", 99, "DELETE")])
+        )
         is MessageOutcome.OTHER_CLUSTER
     )
-    assert "a" in f.items and not f.watching
-    ends = EndpointSelector(["x:1", "y:1"], 1)
-    said = [ends.mark_other_cluster(0.0, member, 8) for member in ("x:1", "x:1", "x:1", "y:1", "y:1")]
-    assert said == [False, False, False, False, True]
-    f.switch_cluster(8)
-    f.handle_page(m.RangeResponse(head(3, cluster=8), [kv("a", 2)]))
-    assert f.revision == 3 and not f.take_changes(), "the same value in a restored cluster is no change"
+    assert "a" in follower.items and not follower.watching
+    endpoints = EndpointSelector(["x:1", "y:1"], 1)
+    accepted = [
+        endpoints.mark_other_cluster(0.0, member, 8) for member in ("x:1", "x:1", "x:1", "y:1", "y:1")
+    ]
+    assert accepted == [False, False, False, False, True]
+    follower.switch_cluster(8)
+    follower.handle_page(messages.RangeResponse(header(3, cluster=8), [kv("a", 2)]))
+    assert follower.revision == 3 and not follower.take_changes(), (
+        "the same value in a restored cluster is not a change"
+    )
 
 
-def test_progress_without_news_confirms_the_list_and_an_older_one_does_not():
-    f, turn = following(kv("a", 5))
-    assert f.handle_watch(turn, m.WatchResponse(head(10))) is MessageOutcome.APPLIED and f.revision == 10
-    assert f.handle_watch(turn, m.WatchResponse(head(9))) is MessageOutcome.STALE and f.revision == 10
+def test_progress_notification_is_applied_unless_it_is_stale():
+    follower, watch_number = following(kv("a", 5))
+    assert (
+        follower.handle_watch(watch_number, messages.WatchResponse(header(10))) is MessageOutcome.APPLIED
+        and follower.revision == 10
+    )
+    assert (
+        follower.handle_watch(watch_number, messages.WatchResponse(header(9))) is MessageOutcome.STALE
+        and follower.revision == 10
+    )
 
 
-def test_a_fault_of_ours_neither_stops_the_list_nor_loses_a_change():
+def test_internal_error_neither_stops_the_feed_nor_loses_a_change():
     with cluster() as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
-        good, w.feed.on_list_change = w.feed.on_list_change, lambda *_: 1 / 0
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
+        callback, watcher.feed.on_list_change = watcher.feed.on_list_change, lambda *_: 1 / 0
         drain(etcd, "s0")
-        until(lambda: w.feed.follower.counts["watches"] > 1)
-        w.feed.on_list_change = good
+        until(lambda: watcher.feed.follower.counts["watches"] > 1)
+        watcher.feed.on_list_change = callback
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is StreamerStatus.LEAVING and w.feed.state == "following")
-        told = {line.streamer: line.status for _, lines, _ in w.told for line in lines}
-        assert told["s0"] is StreamerStatus.LEAVING and told["s1"] is StreamerStatus.LEAVING
-        w.close()
-
-
-def test_a_read_in_pages_is_of_one_revision_and_begins_again_when_it_breaks():
-    f = PrefixFollower()
-    assert f.handle_page(m.RangeResponse(head(10), [kv("a", 5)], more=True)) is MessageOutcome.PARTIAL
-    assert f.next_page_start() == ("a", 10)
-    f.abort_read()
-    assert f.next_page_start() == ("", 0) and not f.items
-    f.handle_page(m.RangeResponse(head(10), [kv("a", 5)], more=True))
-    assert f.handle_page(m.RangeResponse(head(12), [kv("b", 6)])) is MessageOutcome.APPLIED
-    assert f.revision == 10 and f.start_watch()[1] == 11, (
-        "the second page's member had moved on, the read had not"
+        until(lambda: watcher.standing("s1") is StreamerStatus.LEAVING and watcher.feed.state == "following")
+        statuses = {line.streamer: line.status for _, lines, _ in watcher.updates for line in lines}
+        assert statuses["s0"] is StreamerStatus.LEAVING and statuses["s1"] is StreamerStatus.LEAVING
+        watcher.close()
+
+
+def test_paged_read_is_pinned_to_one_revision_and_restarts_after_a_failure():
+    follower = PrefixFollower()
+    assert (
+        follower.handle_page(messages.RangeResponse(header(10), [kv("a", 5)], more=True))
+        is MessageOutcome.PARTIAL
+    )
+    assert follower.next_page_start() == ("a", 10)
+    follower.abort_read()
+    assert follower.next_page_start() == ("", 0) and not follower.items
+    follower.handle_page(messages.RangeResponse(header(10), [kv("a", 5)], more=True))
+    assert follower.handle_page(messages.RangeResponse(header(12), [kv("b", 6)])) is MessageOutcome.APPLIED
+    assert follower.revision == 10 and follower.start_watch()[1] == 11, (
+        "the second member was at a newer revision, the read was not"
     )
 
 
-# Over all interleavings.
+# Model checking over all interleavings.
 
 
-def test_the_follower_is_true_and_never_older_in_every_interleaving():
+def test_follower_is_exact_and_never_goes_back_in_every_interleaving():
     world = worlds.following(2)
     found = check_safety(world)
     assert found["exhaustive"] and found["reachable_states"] > 10000
@@ -245,20 +285,20 @@
     assert check_liveness(world)["holds"] is True, "from every state the follower can still catch up"
 
 
-def test_two_controllers_never_trust_one_number():
+def test_two_controllers_never_hold_one_number_at_once():
     found = check_safety(worlds.leasing())
     assert found["exhaustive"] and found["reachable_states"] > 10000
     assert all(p["holds"] is True for p in found["properties"].values()), found
 
 
 @pytest.mark.parametrize("mistake", worlds.MISTAKES)
-def test_a_mistake_is_found_with_the_way_to_it(mistake):
+def test_model_checker_finds_each_seeded_mistake(mistake):
     found = check_safety(worlds.broken(mistake, 2))["properties"]
     ways = [p["counterexample"] for p in found.values() if p["holds"] is False]
     assert ways and all(len(way) > 2 for way in ways)
 
 
-# The schema and the directory.
+# The stored keys and the registry's state.
 
 
 def streamer(**more):
@@ -269,47 +309,49 @@
     return KeyChange(PREFIX + key, old, value and KeyEntry(value, create, mod))
 
 
-def test_bad_values_are_refused_one_by_one_and_the_last_good_one_stays():
-    d = RegistryState(PREFIX, 0.0)
+def test_invalid_values_are_rejected_one_by_one_and_the_last_valid_one_stays():
+    registry = RegistryState(PREFIX, 0.0)
     good = change("streamers/a", streamer(zone="z"))
-    assert d.apply(1.0, [good, change("streamers/b", b"{"), change("streamers/c", streamer(url="x"))]) == {
-        "a"
-    }
-    assert set(d.bad_values) == {PREFIX + "streamers/b", PREFIX + "streamers/c"}
+    assert registry.apply(
+        1.0, [good, change("streamers/b", b"{"), change("streamers/c", streamer(url="x"))]
+    ) == {"a"}
+    assert set(registry.bad_values) == {PREFIX + "streamers/b", PREFIX + "streamers/c"}
     worse = KeyChange(good.key, good.new, KeyEntry(b"[]", 1, 2))
-    d.apply(2.0, [worse])
-    assert d.entry("a").zone == "z" and good.key in d.bad_values
-    d.apply(3.0, [KeyChange(good.key, worse.new, KeyEntry(streamer(zone="y"), 1, 3))])
-    assert d.entry("a").zone == "y" and good.key not in d.bad_values
-    d.apply(4.0, [KeyChange(good.key, None, KeyEntry(b"[]", 9, 9))])
-    assert d.entry("a").status is StreamerStatus.LEFT, (
-        "a bad value of a new process says nothing of the old one"
+    registry.apply(2.0, [worse])
+    assert registry.entry("a").zone == "z" and good.key in registry.bad_values
+    registry.apply(3.0, [KeyChange(good.key, worse.new, KeyEntry(streamer(zone="y"), 1, 3))])
+    assert registry.entry("a").zone == "y" and good.key not in registry.bad_values
+    registry.apply(4.0, [KeyChange(good.key, None, KeyEntry(b"[]", 9, 9))])
+    assert registry.entry("a").status is StreamerStatus.LEFT, (
+        "an invalid value of a new process does not keep the old one listed"
     )
 
 
-def test_a_drain_counts_whatever_its_value_and_outlives_a_new_put():
-    d = RegistryState(PREFIX, 0.0)
-    d.apply(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
-    assert d.entry("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in d.bad_values
-    d.apply(2.0, [change("streamers/a", streamer(zone="n"), old=KeyEntry(streamer(), 1, 1), mod=2)])
-    assert d.entry("a").status is StreamerStatus.LEAVING
-    d.apply(3.0, [change("drains/a", None, old=KeyEntry(b"garbage", 1, 1))])
-    assert d.entry("a").status is StreamerStatus.ACTIVE
+def test_drain_takes_effect_whatever_its_value_and_survives_a_new_put():
+    registry = RegistryState(PREFIX, 0.0)
+    registry.apply(1.0, [change("streamers/a", streamer()), change("drains/a", b"garbage")])
+    assert registry.entry("a").status is StreamerStatus.LEAVING and PREFIX + "drains/a" in registry.bad_values
+    registry.apply(2.0, [change("streamers/a", streamer(zone="n"), old=KeyEntry(streamer(), 1, 1), mod=2)])
+    assert registry.entry("a").status is StreamerStatus.LEAVING
+    registry.apply(3.0, [change("drains/a", None, old=KeyEntry(b"garbage", 1, 1))])
+    assert registry.entry("a").status is StreamerStatus.ACTIVE
 
 
-def test_who_came_while_it_was_watched_or_was_replaced_is_cold():
-    d = RegistryState(PREFIX, 100.0)
-    d.apply(
+def test_streamer_added_or_recreated_while_watching_is_cold():
+    registry = RegistryState(PREFIX, 100.0)
+    registry.apply(
         5.0, [change("streamers/a", streamer()), change("streamers/b", streamer(started=-40.0))], first=True
     )
-    assert d.entry("a").started is None and d.entry("b").started == 60.0
-    d.apply(6.0, [change("streamers/c", streamer())])
-    assert d.entry("c").started == 6.0
-    d.apply(7.0, [KeyChange(PREFIX + "streamers/a", KeyEntry(streamer(), 1, 1), KeyEntry(streamer(), 9, 9))])
-    assert d.entry("a").started == 7.0
+    assert registry.entry("a").started is None and registry.entry("b").started == 60.0
+    registry.apply(6.0, [change("streamers/c", streamer())])
+    assert registry.entry("c").started == 6.0
+    registry.apply(
+        7.0, [KeyChange(PREFIX + "streamers/a", KeyEntry(streamer(), 1, 1), KeyEntry(streamer(), 9, 9))]
+    )
+    assert registry.entry("a").started == 7.0
 
 
-def test_keys_of_others_are_passed_over_and_unknown_fields_kept():
+def test_unknown_keys_are_ignored_and_unknown_fields_kept():
     assert split_key(PREFIX, "/other/streamers/a") is None and split_key(PREFIX, PREFIX + "colours/a") is None
     assert split_key(PREFIX, PREFIX + "streamers/a/b") == ("streamers", "a/b")
     assert json.loads(update_value(b'{"v": 1, "rack": "r", "new": [1]}', rack="q")) == {
@@ -322,53 +364,59 @@
 # Leases.
 
 
-def test_a_lease_is_trusted_from_when_it_was_asked_for_and_a_rank_waits():
-    c = Membership(3, 9, 6.0)
-    assert c.next_request(0.0) is LeaseRequest.GRANT and c.rank_among(0.0, None) == (None, 9)
-    c.lease_granted(0.0, 77, 6.0)
-    assert c.next_request(4.0) is LeaseRequest.CLAIM
-    c.claim_answered(4.5, 4.0, True)
-    assert c.holds_number(4.5) and c.rank_among(4.5, [3, 1]) == (None, 2), "others may not know of it yet"
-    assert c.rank_among(5.4, [3, 1]) == (None, 2) and not c.holds_number(5.5)
-    c.keepalive_answered(5.0, 6.0)
-    assert c.rank_among(6.0, [3, 1, 8]) == (1, 3)
-    assert c.next_request(20.0) is LeaseRequest.GRANT and c.rank_among(20.0, [1, 3]) == (None, 2), (
-        "paused past its lease"
+def test_lease_is_trusted_from_its_request_and_the_rank_waits_to_settle():
+    membership = Membership(3, 9, 6.0)
+    assert membership.next_request(0.0) is LeaseRequest.GRANT and membership.rank_among(0.0, None) == (
+        None,
+        9,
+    )
+    membership.lease_granted(0.0, 77, 6.0)
+    assert membership.next_request(4.0) is LeaseRequest.CLAIM
+    membership.claim_answered(4.5, 4.0, True)
+    assert membership.holds_number(4.5) and membership.rank_among(4.5, [3, 1]) == (None, 2), (
+        "others may not know of it yet"
     )
+    assert membership.rank_among(5.4, [3, 1]) == (None, 2) and not membership.holds_number(5.5)
+    membership.keepalive_answered(5.0, 6.0)
+    assert membership.rank_among(6.0, [3, 1, 8]) == (1, 3)
+    assert membership.next_request(20.0) is LeaseRequest.GRANT and membership.rank_among(20.0, [1, 3]) == (
+        None,
+        2,
+    ), "suspended for longer than its lease"
 
 
-def test_a_lost_claim_is_tried_again_and_a_dead_lease_given_up():
-    c = Membership(0, 2, 6.0)
-    c.lease_granted(0.0, 5, 6.0)
-    c.claim_answered(0.1, 0.0, False)
+def test_failed_claim_is_retried_and_an_expired_lease_is_dropped():
+    membership = Membership(0, 2, 6.0)
+    membership.lease_granted(0.0, 5, 6.0)
+    membership.claim_answered(0.1, 0.0, False)
     assert (
-        c.taken_by_other
-        and not c.holds_number(0.2)
-        and c.next_request(0.2) is None
-        and c.next_request(0.6) is LeaseRequest.CLAIM
+        membership.taken_by_other
+        and not membership.holds_number(0.2)
+        and membership.next_request(0.2) is None
+        and membership.next_request(0.6) is LeaseRequest.CLAIM
     )
-    c.claim_answered(0.7, 0.6, True)
-    c.keepalive_answered(2.0, 0.0)
-    assert not c.holds_number(2.1) and c.next_request(9.0) is LeaseRequest.GRANT
+    membership.claim_answered(0.7, 0.6, True)
+    membership.keepalive_answered(2.0, 0.0)
+    assert not membership.holds_number(2.1) and membership.next_request(9.0) is LeaseRequest.GRANT
 
 
-# The whole way.
+# End to end, with the stand-in.
 
 
 class Watcher:
-    """A feed on a stand-in, and what it told."""
+    """A registry feed on a stand-in, and the list updates and ranks that it reported."""
 
     def __init__(self, etcd, number=0, budgets=(), **terms):
-        self.told, self.places = [], []
+        self.updates, self.ranks = [], []
         quick = dict(endpoints=",".join(etcd.addresses), time_out=0.4, silent=2.0, ttl=2.0, keep=0.02)
-        told = lambda *told: self.told.append(told), lambda *place: self.places.append(place)  # noqa: E731
+        callbacks = lambda *update: self.updates.append(update), lambda *rank: self.ranks.append(rank)  # noqa: E731
         name, clock = f"h-{number}", time.monotonic
-        self.feed = StreamerRegistry(Terms(**(quick | terms)), number, 2, 1, name, clock, *told, budgets)
+        self.feed = StreamerRegistry(Terms(**(quick | terms)), number, 2, 1, name, clock, *callbacks, budgets)
         self.running = self.feed.start()
 
     def standing(self, name):
-        d = self.feed.directory
-        return d.entry(name).status if name in d.streamers else None
+        directory = self.feed.directory
+        return directory.entry(name).status if name in directory.streamers else None
 
     def close(self):
         gevent.killall(self.running)
@@ -389,23 +437,23 @@
     put(etcd.history, f"{PREFIX}drains/{name}", v=1)
 
 
-def test_a_feed_reads_watches_and_claims_its_number():
+def test_feed_reads_watches_and_claims_its_number():
     with cluster() as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
-        assert w.told[0][0] == "whole" and len(w.told[0][1]) == 3
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
+        assert watcher.updates[0][0] == "whole" and len(watcher.updates[0][1]) == 3
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is StreamerStatus.LEAVING, 0.25)
-        until(lambda: w.places and w.places[-1] == (0, 1))
-        assert w.feed.status()["controllers"] == {"0": "h-0"}
-        w.close()
+        until(lambda: watcher.standing("s1") is StreamerStatus.LEAVING, 0.25)
+        until(lambda: watcher.ranks and watcher.ranks[-1] == (0, 1))
+        assert watcher.feed.status()["controllers"] == {"0": "h-0"}
+        watcher.close()
         until(lambda: not any(b"controllers" in key for key in etcd.history.now_at), 1.0)
 
 
-def test_a_cut_at_any_byte_and_a_compaction_lose_nothing():
+def test_stream_cut_at_any_byte_and_compaction_lose_no_change():
     with cluster() as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
         for cut in range(1, 1200, 97):
             etcd.members[0].cut_after = cut
             etcd.cut()
@@ -417,52 +465,59 @@
             etcd.history.delete(f"{PREFIX}drains/s{cut % 3}".encode())
         etcd.members[0].cut_after = 0
         etcd.cut()
-        until(lambda: w.feed.follower.revision == etcd.history.revision)
-        assert w.feed.directory.streamers.keys() == {"s0", "s1", "s2", *(f"n{i}" for i in range(1, 1200, 97))}
-        assert not w.feed.directory.drains and w.feed.follower.counts["compacted"] > 0
-        w.close()
+        until(lambda: watcher.feed.follower.revision == etcd.history.revision)
+        assert watcher.feed.directory.streamers.keys() == {
+            "s0",
+            "s1",
+            "s2",
+            *(f"n{i}" for i in range(1, 1200, 97)),
+        }
+        assert not watcher.feed.directory.drains and watcher.feed.follower.counts["compacted"] > 0
+        watcher.close()
 
 
-def test_a_drain_in_the_middle_of_a_reconnect_and_one_that_leaves_within_one():
+def test_drain_and_removal_during_a_reconnect_are_applied():
     with cluster() as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
         etcd.members[0].stop()
         drain(etcd, "s0")
         drain(etcd, "s1")
         etcd.history.delete(f"{PREFIX}streamers/s1".encode(), f"{PREFIX}drains/s1".encode())
         etcd.history.compact()
-        until(lambda: w.feed.state == "lost")
-        assert w.standing("s0") is StreamerStatus.ACTIVE, "it cannot know yet"
+        until(lambda: watcher.feed.state == "lost")
+        assert watcher.standing("s0") is StreamerStatus.ACTIVE, (
+            "the front is disconnected and cannot know yet"
+        )
         etcd.members[0].start()
-        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
-        assert w.standing("s1") is None
-        w.close()
+        until(lambda: watcher.standing("s0") is StreamerStatus.LEAVING)
+        assert watcher.standing("s1") is None
+        watcher.close()
 
 
-def test_a_deploy_that_replaces_all_while_the_watch_is_down_leaves_all_cold():
+def test_streamers_replaced_while_the_watch_is_down_are_cold():
     with cluster() as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
         etcd.members[0].stop()
         for i in range(3):
             etcd.history.delete(f"{PREFIX}streamers/s{i}".encode())
             put(etcd.history, f"{PREFIX}streamers/s{i}", v=1, url=f"http://127.0.0.1:{9500 + i}")
         etcd.history.compact()
         etcd.members[0].start()
-        until(lambda: w.feed.state == "following")
-        lines = w.told[-1][1]
+        until(lambda: watcher.feed.state == "following")
+        lines = watcher.updates[-1][1]
         assert all(line.started is not None for line in lines) and len(lines) == 3
-        assert w.told[-1][2]["s0"] == ("127.0.0.1", 9500)
-        w.close()
+        assert watcher.updates[-1][2]["s0"] == ("127.0.0.1", 9500)
+        watcher.close()
 
 
-def test_a_stale_member_and_one_of_another_cluster_are_not_believed():
+def test_lagging_member_and_member_of_another_cluster_are_not_used():
     with cluster(3) as etcd:
-        w = Watcher(etcd)
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd)
+        until(lambda: watcher.feed.state == "following")
         drain(etcd, "s0")
-        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
+        until(lambda: watcher.standing("s0") is StreamerStatus.LEAVING)
         for member in etcd.members[:1]:
             member.stuck = 2
         etcd.members[1].cluster = 0xBAD
@@ -470,25 +525,28 @@
             etcd.cut()
             gevent.sleep(0.03)
         drain(etcd, "s2")
-        until(lambda: w.standing("s2") is StreamerStatus.LEAVING)
-        assert w.standing("s0") is StreamerStatus.LEAVING and w.feed.follower.cluster == etcd.history.cluster
-        w.close()
+        until(lambda: watcher.standing("s2") is StreamerStatus.LEAVING)
+        assert (
+            watcher.standing("s0") is StreamerStatus.LEAVING
+            and watcher.feed.follower.cluster == etcd.history.cluster
+        )
+        watcher.close()
 
 
-def test_a_list_is_remembered_and_bad_stores_are_put_aside(tmp_path):
+def test_list_is_cached_on_disk_and_unreadable_caches_are_quarantined(tmp_path):
     with cluster() as etcd:
-        w = Watcher(etcd, remembered=str(tmp_path / "list"))
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd, remembered=str(tmp_path / "list"))
+        until(lambda: watcher.feed.state == "following")
         drain(etcd, "s1")
-        until(lambda: w.standing("s1") is StreamerStatus.LEAVING)
-        w.close()
+        until(lambda: watcher.standing("s1") is StreamerStatus.LEAVING)
+        watcher.close()
         etcd.members[0].stop()
-        w = Watcher(etcd, remembered=str(tmp_path / "list"))
-        assert w.feed.state == "remembered" and w.told[0][0] == "remembered"
-        assert w.standing("s1") is StreamerStatus.LEAVING and len(w.told[0][1]) == 3
+        watcher = Watcher(etcd, remembered=str(tmp_path / "list"))
+        assert watcher.feed.state == "remembered" and watcher.updates[0][0] == "remembered"
+        assert watcher.standing("s1") is StreamerStatus.LEAVING and len(watcher.updates[0][1]) == 3
         etcd.members[0].start()
-        until(lambda: w.feed.state == "following")
-        w.close()
+        until(lambda: watcher.feed.state == "following")
+        watcher.close()
     store = ListCache(str(tmp_path / "list"))
     store._open()
     with store.env.begin(write=True) as txn:
@@ -514,95 +572,99 @@
     store.close()
 
 
-def test_a_token_that_expires_is_made_anew(tmp_path):
+def test_expired_token_is_renewed(tmp_path):
     with cluster() as etcd:
         etcd.users["front"] = "secret-word"
         (tmp_path / "password").write_text("secret-word\n")
-        w = Watcher(etcd, user="front", password_file=str(tmp_path / "password"))
-        until(lambda: w.feed.state == "following")
+        watcher = Watcher(etcd, user="front", password_file=str(tmp_path / "password"))
+        until(lambda: watcher.feed.state == "following")
         etcd.tokens.clear()
         etcd.cut()
         drain(etcd, "s0")
-        until(lambda: w.standing("s0") is StreamerStatus.LEAVING)
-        w.close()
+        until(lambda: watcher.standing("s0") is StreamerStatus.LEAVING)
+        watcher.close()
 
 
-def test_two_claims_of_one_number_leave_one_without_a_place():
+def test_second_claim_of_a_number_waits_for_the_first_to_end():
     with cluster() as etcd:
         one, two = Watcher(etcd), Watcher(etcd)
-        until(lambda: any(w.places and w.places[-1][0] == 0 for w in (one, two)))
+        until(lambda: any(watcher.ranks and watcher.ranks[-1][0] == 0 for watcher in (one, two)))
         gevent.sleep(0.3)
-        held = [w.feed.membership.holds_number(time.monotonic()) for w in (one, two)]
+        held = [watcher.feed.membership.holds_number(time.monotonic()) for watcher in (one, two)]
         assert sorted(held) == [False, True]
         first, second = (one, two) if held[0] else (two, one)
         first.close()
-        until(lambda: second.places[-1] == (0, 1))
+        until(lambda: second.ranks[-1] == (0, 1))
         second.close()
 
 
-def test_a_keep_alive_that_races_the_end_of_its_lease_leaves_no_doubt_who_holds_the_number():
+def test_late_keep_alive_gives_up_the_number_before_the_lease_expires():
     with cluster() as etcd:
-        w = Watcher(etcd, time_out=5.0)
-        until(lambda: w.places and w.places[-1] == (0, 1))
-        etcd.members[0].slow = 2.6  # longer than the lease: the answer says that it is gone
-        until(lambda: w.places[-1][0] is None)
-        assert not w.feed.membership.holds_number(time.monotonic())
-        assert any(b"controllers" in key for key in etcd.history.now_at), "given up here before it ends there"
+        watcher = Watcher(etcd, time_out=5.0)
+        until(lambda: watcher.ranks and watcher.ranks[-1] == (0, 1))
+        etcd.members[0].slow = 2.6  # longer than the lease: the reply says that it has expired
+        until(lambda: watcher.ranks[-1][0] is None)
+        assert not watcher.feed.membership.holds_number(time.monotonic())
+        assert any(b"controllers" in key for key in etcd.history.now_at), (
+            "the controller gives up the number before the server does"
+        )
         until(lambda: not any(b"controllers" in key for key in etcd.history.now_at))
         etcd.members[0].slow = 0.0
-        until(lambda: w.places[-1] == (0, 1))
-        w.close()
+        until(lambda: watcher.ranks[-1] == (0, 1))
+        watcher.close()
 
 
-def test_a_claim_whose_answer_was_lost_is_known_for_ours_when_it_is_repeated():
+def test_claim_whose_reply_was_lost_is_recognized_when_repeated():
     with cluster() as etcd:
         member = etcd.members[0]
         claims, serve = [], member._txn
 
-        def once_lost(asked, who):
-            reply = serve(asked, who)
+        def serve_but_lose_first_reply(request, who):
+            reply = serve(request, who)
             claims.append(json.loads(reply.body).get("succeeded", False))
             if len(claims) == 1:
-                raise ConnectionResetError("the answer is lost")
+                raise ConnectionResetError("the reply is lost")
             return reply
 
-        member._txn = once_lost
-        w = Watcher(etcd)
-        until(lambda: w.places and w.places[-1] == (0, 1), 1.9)  # well before the lease would run out
+        member._txn = serve_but_lose_first_reply
+        watcher = Watcher(etcd)
+        until(
+            lambda: watcher.ranks and watcher.ranks[-1] == (0, 1), 1.9
+        )  # well before the lease would expire
         assert claims[:2] == [True, False]
-        w.close()
+        watcher.close()
 
 
-def test_the_stand_in_filters_watches():
+def test_stand_in_filters_watch_events():
     with cluster() as etcd:
         member = etcd.members[0]
         mark = object()
         member.streams.add(mark)
-        asked = {"key": "L2hlcm9uZ2FwLw==", "range_end": "L2hlcm9uZ2FwMA==", "start_revision": "2"}
+        request = {"key": "L2hlcm9uZ2FwLw==", "range_end": "L2hlcm9uZ2FwMA==", "start_revision": "2"}
         etcd.history.delete(f"{PREFIX}streamers/s0".encode())
         for filters, kinds in (
             (["NOPUT"], ["DELETE"]),
             (["NODELETE"], ["PUT", "PUT", "PUT"]),
             ([], ["PUT"] * 3 + ["DELETE"]),
         ):
-            messages = member._messages({**asked, "filters": filters}, mark)
-            next(messages)
-            told, _ = next(messages)
-            assert [e.get("type", "PUT") for e in told["events"]] == kinds
-
-
-def test_the_stand_in_expires_leases_with_all_their_keys_in_one_revision():
-    h = History()
-    lease = h.grant(0.0, 2.0)
-    h.put(b"/a", b"1", lease)
-    h.put(b"/b", b"2", lease)
-    assert h.keep(1.5, lease) == 2.0
-    h.expire(3.4)
-    assert len(h.now_at) == 2
-    before = h.revision
-    h.expire(3.5)
-    assert not h.now_at and h.revision == before + 1 and h.keep(3.6, lease) == 0.0
-    assert [k for k, _ in h.at(before, b"/", b"0")] == [b"/a", b"/b"], "history still shows them"
+            stream = member._messages({**request, "filters": filters}, mark)
+            next(stream)
+            response, _ = next(stream)
+            assert [e.get("type", "PUT") for e in response["events"]] == kinds
+
+
+def test_stand_in_expires_all_keys_of_a_lease_in_one_revision():
+    history = History()
+    lease = history.grant(0.0, 2.0)
+    history.put(b"/a", b"1", lease)
+    history.put(b"/b", b"2", lease)
+    assert history.keep(1.5, lease) == 2.0
+    history.expire(3.4)
+    assert len(history.now_at) == 2
+    before = history.revision
+    history.expire(3.5)
+    assert not history.now_at and history.revision == before + 1 and history.keep(3.6, lease) == 0.0
+    assert [k for k, _ in history.at(before, b"/", b"0")] == [b"/a", b"/b"], "history still shows them"
 
 
 # The commands.
@@ -625,7 +687,7 @@
     return CliRunner().invoke(main, ["list", *map(str, args)])
 
 
-def test_the_commands_show_drain_and_import(tmp_path):
+def test_list_commands_show_drain_and_import(tmp_path):
     with cluster(2) as etcd:
         file = front(tmp_path, etcd)
         shown = command("show", file)
@@ -634,8 +696,8 @@
         assert not any(b"drains" in key for key in etcd.history.now_at), "all or nothing"
         assert "revision 5" in command("drain", file, "s1", "--reason", "disk").output
         assert json.loads(command("show", file, "--json").output)["streamers"]["s1"]["standing"] == "leaving"
-        told = command("watch", file, "--seconds", "0.3", "--json").output
-        assert json.loads(told.splitlines()[1])["standing"] == "leaving"
+        output = command("watch", file, "--seconds", "0.3", "--json").output
+        assert json.loads(output.splitlines()[1])["standing"] == "leaving"
         assert "takes work from" in command("undrain", file, "s1").output
         assert "was not drained" in command("undrain", file, "s1").output
         put(etcd.history, f"{PREFIX}streamers/s0", v=1, url="http://127.0.0.1:9000", new="kept")
@@ -663,7 +725,7 @@
         assert command("show", file).exit_code == 2
 
 
-def test_a_front_starts_on_what_it_remembers_and_serves_its_list(tmp_path):
+def test_front_starts_from_the_cached_list_and_serves_it(tmp_path):
     from herongap.daemon.http_connection import ConnectionPool
     from herongap.daemon.run import Daemon
     from herongap.ini import read_site
@@ -674,9 +736,11 @@
         daemon = Daemon(read_site(file))
         daemon.start()
         until(lambda: daemon.registry.state == "following" and daemon.host.module.state.rank == 0)
-        told = json.loads(ConnectionPool(daemon.metrics.address, 1.0).call("GET", "/list", (), b"", 2.0).body)
-        assert told["source"]["state"] == "following" and len(told["streamers"]) == 3
-        assert told["source"]["place"] == [0, 1]
+        status = json.loads(
+            ConnectionPool(daemon.metrics.address, 1.0).call("GET", "/list", (), b"", 2.0).body
+        )
+        assert status["source"]["state"] == "following" and len(status["streamers"]) == 3
+        assert status["source"]["place"] == [0, 1]
         scraped = (
             ConnectionPool(daemon.metrics.address, 1.0).call("GET", "/metrics", (), b"", 2.0).body.decode()
         )
@@ -686,7 +750,9 @@
         daemon = Daemon(read_site(file))
         daemon.start()
         assert daemon.registry.state == "remembered" and len(daemon.host.statuses) == 3
-        assert daemon.host.module.state.rank is None, "nothing to cold streamers while others cannot be known"
+        assert daemon.host.module.state.rank is None, (
+            "sends nothing to cold streamers while the other controllers are unknown"
+        )
         daemon.kill()
 
 
@@ -699,14 +765,14 @@
         ({"ttl": 0}, "ttl"),
     ],
 )
-def test_bad_settings_are_refused_with_their_reason(tmp_path, change, says):
+def test_invalid_settings_are_rejected_with_the_reason(tmp_path, change, says):
     with cluster() as etcd:
         file = front(tmp_path, etcd, **change)
-    told = CliRunner().invoke(main, ["check", str(file)])
-    assert told.exit_code == 1 and says in told.output
+    result = CliRunner().invoke(main, ["check", str(file)])
+    assert result.exit_code == 1 and says in result.output
 
 
-def test_work_after_a_drain_was_told_is_found(tmp_path):
+def test_checker_finds_work_sent_after_a_drain_was_received(tmp_path):
     (tmp_path / "day.ini").write_text(DAY.replace("[day]", "[day]\nlist_by = etcd"))
     day = read_day(tmp_path / "day.ini")
 
@@ -718,22 +784,22 @@
         return (at, "s0", "post", {"identity": "w/1", "front": front, "title": "1", "rung": 0, "cold": False})
 
     drained = (1.0, "etcd", "drain", {"streamer": "s0", "drained": True})
-    told = (1.5, "etcd", "told", {"front": "f-1", "streamer": "s0", "drained": True})
+    received = (1.5, "etcd", "told", {"front": "f-1", "streamer": "s0", "drained": True})
     ended = (1.7, "etcd", "drain", {"streamer": "s0", "drained": False})
-    assert broken(drained, told, post(1.9)) == {3}
-    assert not broken(drained, told, post(1.7)), "within the grace"
-    assert not broken(drained, told, post(1.9, "f-2")), "another front, which was not told"
-    assert not broken(drained, told, ended, post(1.9)), "the drain had ended"
-    assert not broken(drained, ended, told, post(1.9)), "what is told late binds nobody"
+    assert broken(drained, received, post(1.9)) == {3}
+    assert not broken(drained, received, post(1.7)), "within the grace period"
+    assert not broken(drained, received, post(1.9, "f-2")), "another front, which has not received it"
+    assert not broken(drained, received, ended, post(1.9)), "the drain had ended"
+    assert not broken(drained, ended, received, post(1.9)), "a drain received after its end has no effect"
 
 
-def test_a_whole_is_divided_over_the_store_though_answers_are_lost_and_one_dies():
-    whole = Whole("seats", Kind.HELD, 12, floor=1, linger=0.5)
+def test_budget_is_divided_although_replies_are_lost_and_a_controller_dies():
+    budget = BudgetTerms("seats", Kind.HELD, 12, floor=1, linger=0.5)
     with cluster(2) as etcd:
         key = f"{PREFIX}budgets/seats"
         etcd.history.put(key.encode(), write(Division(12, True, 1, {}).body()))
-        all_ = [Watcher(etcd, n, (whole,)) for n in range(3)]
-        shares = [w.feed.budgets.shares["seats"] for w in all_]
+        watchers = [Watcher(etcd, n, (budget,)) for n in range(3)]
+        shares = [watcher.feed.budgets.shares["seats"] for watcher in watchers]
 
         def parts():
             return divided(etcd.history.now_at[key.encode()]["value"]).parts
@@ -742,32 +808,32 @@
         until(lambda: all(s.room(time.monotonic()) > 0 for s in shares), 20.0)
         for _ in range(3):
             shares[0].began(time.monotonic())
-        # Answers come too late to be heard, while one is short and the others give back.
+        # Replies arrive after the timeout while controller 0 needs more and the others give capacity back.
         for member in etcd.members:
             member.withhold = 0.6
         for _ in range(8):
             shares[0].refused(time.monotonic())
-        until(lambda: sum(w.feed.budgets.unknown_outcomes for w in all_) > 0, 20.0)
+        until(lambda: sum(watcher.feed.budgets.unknown_outcomes for watcher in watchers) > 0, 20.0)
         for member in etcd.members:
             member.withhold = 0.0
         until(lambda: not any(s.ledger.doubt for s in shares), 20.0)
-        # One dies: its part is handed on when its lease is over and what it held has lingered.
-        dead = parts()["2"]
-        gevent.killall(all_[2].running)
-        at = time.monotonic()
+        # Controller 2 dies: its part is freed once its lease has expired and the linger time has passed.
+        dead_part = parts()["2"]
+        gevent.killall(watchers[2].running)
+        killed_at = time.monotonic()
         until(lambda: "2" not in parts(), 30.0)
-        assert time.monotonic() - at > whole.outlasts and dead.amount > 0
+        assert time.monotonic() - killed_at > budget.outlasts and dead_part.amount > 0
 
-        def short() -> bool:
+        def controller_0_gets_more() -> bool:
             shares[0].refused(time.monotonic())
             return parts()["0"].amount >= 8
 
-        until(short, 20.0)  # who runs short has what the dead one had
-        # One leaves: it is gone at once.
-        all_[1].feed.budgets.leave()
-        until(lambda: all_[1].feed.budgets.released and "1" not in parts(), 20.0)
+        until(controller_0_gets_more, 20.0)  # it has received the part of the dead controller
+        # Controller 1 shuts down: its part is freed at once.
+        watchers[1].feed.budgets.leave()
+        until(lambda: watchers[1].feed.budgets.released and "1" not in parts(), 20.0)
         for _, _, value in [e for e in etcd.history.events if e[1] == key.encode()]:
-            d = divided(value["value"])
-            assert sum(p.amount for p in d.parts.values()) <= d.whole
-        for w in all_:
-            w.close()
+            division = divided(value["value"])
+            assert sum(p.amount for p in division.parts.values()) <= division.whole
+        for watcher in watchers:
+            watcher.close()
