--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -1,4 +1,4 @@
-"""Protocols without I/O: what they take, what they refuse, and that nothing else comes out of them."""
+"""Protocols without I/O: valid input is accepted, and invalid input raises only the documented errors."""
 
 import asyncio
 import contextlib
@@ -26,36 +26,38 @@
 from herongap.whep import EventReader, read_layer, write_event, write_layer
 from herongap.whip import SessionResource
 
-ME = Endpoint("abcd", "p" * 24, ":".join(["AB"] * 32), "127.0.0.1", 5000, 4711)
-OFFER = create_offer(ME, "recvonly")
+ENDPOINT = Endpoint("abcd", "p" * 24, ":".join(["AB"] * 32), "127.0.0.1", 5000, 4711)
+OFFER = create_offer(ENDPOINT, "recvonly")
 
 
-def test_an_independent_webrtc_stack_takes_offers_and_answers_of_both_ends():
+def test_independent_webrtc_implementation_accepts_offers_and_answers():
     aiortc = pytest.importorskip("aiortc")
 
     async def exchange():
-        theirs = aiortc.RTCPeerConnection()
-        theirs.addTransceiver("video", direction="recvonly")
-        theirs.addTransceiver("audio", direction="recvonly")
-        await theirs.setLocalDescription(await theirs.createOffer())
-        offered = read_offer(theirs.localDescription.sdp.encode(), "recvonly")
-        await theirs.setRemoteDescription(aiortc.RTCSessionDescription(create_answer(offered, ME), "answer"))
-        states = [theirs.signalingState]
-        await theirs.close()
-        far = aiortc.RTCPeerConnection()
-        await far.setRemoteDescription(aiortc.RTCSessionDescription(OFFER, "offer"))
-        await far.setLocalDescription(await far.createAnswer())
-        states.append(far.signalingState)
-        await far.close()
+        offering_peer = aiortc.RTCPeerConnection()
+        offering_peer.addTransceiver("video", direction="recvonly")
+        offering_peer.addTransceiver("audio", direction="recvonly")
+        await offering_peer.setLocalDescription(await offering_peer.createOffer())
+        offered = read_offer(offering_peer.localDescription.sdp.encode(), "recvonly")
+        await offering_peer.setRemoteDescription(
+            aiortc.RTCSessionDescription(create_answer(offered, ENDPOINT), "answer")
+        )
+        states = [offering_peer.signalingState]
+        await offering_peer.close()
+        answering_peer = aiortc.RTCPeerConnection()
+        await answering_peer.setRemoteDescription(aiortc.RTCSessionDescription(OFFER, "offer"))
+        await answering_peer.setLocalDescription(await answering_peer.createAnswer())
+        states.append(answering_peer.signalingState)
+        await answering_peer.close()
         return states
 
     assert asyncio.run(exchange()) == ["stable", "stable"]
 
 
-def test_identity_is_the_same_for_copies_and_differs_between_offers():
+def test_offer_identity_is_equal_for_copies_and_differs_between_offers():
     first = read_offer(OFFER.encode(), "recvonly").identity
     assert first == read_offer(OFFER.replace("candidate:1 1", "candidate:2 1").encode(), "recvonly").identity
-    other = create_offer(ME._replace(ufrag="efgh"), "recvonly")
+    other = create_offer(ENDPOINT._replace(ufrag="efgh"), "recvonly")
     assert first != read_offer(other.encode(), "recvonly").identity
 
 
@@ -73,15 +75,15 @@
         (("s=-", "!=-"), "line 3"),
     ],
 )
-def test_a_bad_offer_is_refused_with_its_reason(change, says):
+def test_invalid_offer_is_rejected_with_the_reason(change, says):
     with pytest.raises(SdpError, match=says):
         read_offer(OFFER.replace(*change).encode(), "recvonly")
 
 
 @settings(max_examples=200)
 @given(st.binary(max_size=300), st.integers(0, len(OFFER)))
-def test_no_bytes_make_the_readers_fail_otherwise(noise, at):
-    for body in (noise, OFFER[:at].encode() + noise + OFFER[at:].encode()):
+def test_parsers_raise_only_their_documented_errors(noise, position):
+    for body in (noise, OFFER[:position].encode() + noise + OFFER[position:].encode()):
         for read in (lambda b: read_offer(b, "recvonly"), read_fragment):
             with contextlib.suppress(SdpError):
                 read(body)
@@ -93,29 +95,29 @@
 
 @settings(max_examples=100)
 @given(st.lists(st.integers(1, 40), max_size=30))
-def test_events_are_the_same_however_the_stream_is_split(cuts):
+def test_event_reader_is_independent_of_chunking(cuts):
     events = [
         ("load", {"link": 0.5}),
         ("delivery", {"share": 0.9}),
         ("inactive", {"resource": "/r/1", "reason": "x"}),
     ]
     stream = b":\n\n" + b"".join(write_event(*e) for e in events) + b"data: not json\n\n"
-    reader, got, at = EventReader(), [], 0
+    reader, received, position = EventReader(), [], 0
     for cut in cuts:
-        got += reader.feed(stream[at : at + cut])
-        at += cut
-    assert got + reader.feed(stream[at:]) == events
+        received += reader.feed(stream[position : position + cut])
+        position += cut
+    assert received + reader.feed(stream[position:]) == events
     with pytest.raises(ValueError, match="without an end"):
         EventReader().feed(b"x" * 70000)
 
 
 @given(st.floats(0, 50), st.floats(0, 50))
-def test_loads_go_there_and_back(link_ratio, rack):
+def test_load_survives_encoding_and_decoding(link_ratio, rack):
     read = read_load(write_load(LoadReport(link_ratio, None, rack)))
     assert abs(read.link - link_ratio) < 1e-3 and abs(read.rack - rack) < 1e-3
 
 
-def test_a_load_that_is_no_figure_is_absent():
+def test_load_that_is_not_a_valid_number_is_absent():
     assert read_load('JSON {"named_metrics": {"link": "1", "rack": true}}') is None
     assert read_load('JSON {"named_metrics": {"link": -1}, "application_utilization": 0.7}') == LoadReport(
         None, 0.7, None
@@ -124,28 +126,35 @@
     assert read_load('JSON {"named_metrics": {"link": NaN, "rack": Infinity}}') is None
 
 
-def patch(body, tag, kind="application/trickle-ice-sdpfrag"):
+def patch_request(body, tag, kind="application/trickle-ice-sdpfrag"):
     headers = {"content-type": kind, **({"if-match": tag} if tag else {})}
     return Request("PATCH", "/r/1", headers, body)
 
 
-def test_ice_sessions_and_their_tags():
-    resource = SessionResource("x", "abcd", ME)
-    old = resource.etag
-    mine = write_fragment(Fragment("abcd", "p" * 24, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False))
-    assert resource.patch(patch(mine, old), ME).status == 204 and len(resource.candidates) == 1
-    assert resource.patch(patch(mine, '"other"'), ME).status == 412
-    assert resource.patch(patch(mine, ""), ME).status == 428
-    assert resource.patch(patch(mine, old, "text/plain"), ME).status == 415
-    assert resource.patch(patch(mine, "*"), ME).status == 400, "a restart needs new credentials"
-    again = write_fragment(Fragment("wxyz", "q" * 24, (), False))
-    restarted = resource.patch(patch(again, "*"), ME._replace(ufrag="newu"))
-    assert restarted.status == 200 and b"newu" in restarted.body and resource.etag != old
-    assert resource.patch(patch(mine, old), ME).status == 412, "the old ICE session's fragments are stale"
-    assert resource.patch(patch(again, resource.etag), ME).status == 204
+def test_entity_tags_identify_ice_sessions():
+    resource = SessionResource("x", "abcd", ENDPOINT)
+    old_tag = resource.etag
+    fragment = write_fragment(Fragment("abcd", "p" * 24, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False))
+    assert (
+        resource.patch(patch_request(fragment, old_tag), ENDPOINT).status == 204
+        and len(resource.candidates) == 1
+    )
+    assert resource.patch(patch_request(fragment, '"other"'), ENDPOINT).status == 412
+    assert resource.patch(patch_request(fragment, ""), ENDPOINT).status == 428
+    assert resource.patch(patch_request(fragment, old_tag, "text/plain"), ENDPOINT).status == 415
+    assert resource.patch(patch_request(fragment, "*"), ENDPOINT).status == 400, (
+        "a restart needs new credentials"
+    )
+    restart_fragment = write_fragment(Fragment("wxyz", "q" * 24, (), False))
+    restarted = resource.patch(patch_request(restart_fragment, "*"), ENDPOINT._replace(ufrag="newu"))
+    assert restarted.status == 200 and b"newu" in restarted.body and resource.etag != old_tag
+    assert resource.patch(patch_request(fragment, old_tag), ENDPOINT).status == 412, (
+        "fragments of the old ICE session are stale"
+    )
+    assert resource.patch(patch_request(restart_fragment, resource.etag), ENDPOINT).status == 204
 
 
-def test_headers():
+def test_request_and_reply_headers():
     request = Request("POST", "/whep/a%2Fb?top=1&top=2", {
         "authorization": "Bearer abc", "if-match": '"a", "b"', "prefer": "respond-async, wait=2.5",
     })  # fmt: skip
@@ -159,11 +168,11 @@
     )
     (found,) = read_links(link("/e?a=1,2", "x:y", events="a,b")[1])
     assert (found.url, found.rel, found.params) == ("/e?a=1,2", "x:y", {"events": "a,b"})
-    told = problem("blocked", "full", come_back=0.5)
+    reply = problem("blocked", "full", come_back=0.5)
     assert (
-        told.status == 503
-        and problem_kind(told.body) == "blocked"
-        and json.loads(told.body)["come_back"] == 0.5
+        reply.status == 503
+        and problem_kind(reply.body) == "blocked"
+        and json.loads(reply.body)["come_back"] == 0.5
     )
     assert problem_kind(b"[]") == problem_kind(b"\xff") == "" and Reply(200).header("x") is None
     assert read_layer(write_layer(2), 3) == 2
