--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -43,7 +43,11 @@
         self.rotate, self.ahead, self.longest = rotate, ahead, longest
 
     def needs_new_key(self, now: float) -> bool:
-        """Whether to create a key: there is none, or the newest was created `rotate` seconds ago."""
+        """Whether to create a key: there is none, or the newest was created `rotate` seconds ago.
+
+        The successor signs `ahead` seconds after its creation, when the newest has signed for `rotate`
+        seconds.
+        """
         return not self.keys or now >= self.keys[-1].created_at + self.rotate
 
     def add(self, key: SigningKey) -> None:
--- a/herongap/dash/mpd.py
+++ b/herongap/dash/mpd.py
@@ -1,9 +1,8 @@
 """Manifests (ISO/IEC 23009-1, 4th edition), one for each viewing: its rungs, its streamer, its token.
 
 The token is part of the path in BaseURL, so that any player sends it with every segment request. `Location`
-is where the manifest is fetched again: a move to another streamer or a different top rung reaches the
-player there, at the latest after `minimumUpdatePeriod`. Built with ElementTree, which escapes the names of
-titles.
+is where the manifest is fetched again: a move to another streamer or a different top rung reaches the player
+there, at the latest after `minimumUpdatePeriod`. ElementTree escapes the names of titles.
 """
 
 from datetime import UTC, datetime
--- a/herongap/dash/tokens.py
+++ b/herongap/dash/tokens.py
@@ -64,9 +64,7 @@
 
 
 def mint(key: OKPKey, claims: TokenClaims) -> str:
-    """Sign a token. Its times are rounded down to whole seconds, so that it never lasts longer than
-    `claims.ends`.
-    """
+    """Sign a token. Its times are rounded down to whole seconds, so that it ends by `claims.ends`."""
     payload = {
         "iss": ISSUER, "aud": claims.streamer, "sub": claims.viewing, "title": claims.title,
         "package": claims.package, "member": claims.member, "rungs": [claims.floor, claims.top],
