--- a/herongap/daemon/__init__.py
+++ b/herongap/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: gevent sockets that only carry between the protocols and the hosted controller."""
+"""The daemon: gevent sockets and files around the hosted controller. It does I/O only and decides nothing."""
--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -1,4 +1,4 @@
-"""Carries the shares of wholes between `herongap.accord`, the store and the host. It decides nothing."""
+"""Carries budget shares between `herongap.accord`, the store and the host. It decides nothing."""
 
 from collections.abc import Callable, Hashable, Iterable, Mapping
 
@@ -11,133 +11,142 @@
 from herongap.etcd.follower import Item
 from herongap.ini.parts import WholeTerms
 
-LOOK = 0.05  # seconds between two looks at what is due; what is heard comes sooner
+POLL_SECONDS = 0.05  # between two checks of what is due; events are handled sooner
 log = structlog.get_logger()
 
 
-def budget_terms(name: str, whole: WholeTerms) -> Terms:
-    """A budget as its section of the file states it."""
-    w = whole
+def budget_terms(name: str, section: WholeTerms) -> Terms:
+    """Convert a budget's section of the configuration file."""
+    w = section
     keep = w.without_store == "keep"
     return Terms(name, Kind(w.kind), w.whole, w.floor, w.window, w.linger, keep)
 
 
 class Budgets:
-    """One controller's shares, by the names of their budgets.
+    """One controller's shares of the fleet budgets, by budget name.
 
-    `swap(body)` sends a transaction and gives its answer, and raises `faults` where nobody knows what became
-    of it. `live()` gives each live controller's claim by its number, None while that is in doubt.
-    `given(name, room)` is told of each whole of which more or less may be begun than before.
+    `commit(body)` sends a transaction and returns its answer; it raises one of `network_errors` if the
+    outcome is unknown. `live_claims()` returns each live controller's claim by its number, None while that is
+    uncertain. `on_room_change(name, room)` is called for each budget whose room for new work has changed.
     """
 
     def __init__(self, terms: Iterable[Terms], prefix: str, number: int, ttl: float, seed: int,
-                 clock: Callable, swap: Callable, faults: tuple,
-                 live: Callable[[], Mapping[str, int] | None],
-                 given: Callable[[str, int], None] = lambda name, room: None):  # fmt: skip
-        self.clock, self.swap, self.faults, self.live, self.given = clock, swap, faults, live, given
+                 clock: Callable, commit: Callable, network_errors: tuple,
+                 live_claims: Callable[[], Mapping[str, int] | None],
+                 on_room_change: Callable[[str, int], None] = lambda name, room: None):  # fmt: skip
+        self.clock, self.commit, self.network_errors = clock, commit, network_errors
+        self.live_claims, self.on_room_change = live_claims, on_room_change
         self.shares = {t.name: Shares(t, str(number), ttl, seed) for t in terms}
-        self.tally = Tally(self.shares)
+        self.usage = Tally(self.shares)
         self.keys = {name: f"{prefix}budgets/{name}" for name in self.shares}
-        self.nudge = Event()
-        self.unknown_outcomes = 0  # commits without an answer so far
+        self.wakeup = Event()
+        self.unknown_outcomes = 0  # commits that had no answer
 
-    def heard(self, revision: int, items: Mapping[str, Item]) -> None:
-        """The list has got to a revision: each document as it is there."""
+    def documents_changed(self, revision: int, items: Mapping[str, Item]) -> None:
+        """Take the budget documents as they are at a revision of the list."""
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
             bad = shares.bad
             shares.shown(now, revision, item.mod if item else 0, item.value if item else None)
             if shares.bad and shares.bad != bad:
-                log.error("budget not understood, nothing of it is used", budget=name, cause=shares.bad)
-        self.nudge.set()
+                log.error(
+                    "budget document not readable, the budget is not used", budget=name, cause=shares.bad
+                )
+        self.wakeup.set()
 
-    def leased(self, life: int, until: float, holds: bool, failing: bool) -> None:
-        """How our number stands: by which claim it is ours, until when, and whether a renewal has failed."""
+    def lease_changed(self, claim_revision: int, until: float, holds: bool, renewal_failing: bool) -> None:
+        """Take the state of our lease: the claim of our number, its end, and whether a renewal has failed."""
         for shares in self.shares.values():
-            shares.leased(life, until, holds, failing)
+            shares.leased(claim_revision, until, holds, renewal_failing)
 
-    def set_back(self) -> None:
-        """The store is another one than before."""
+    def reset(self) -> None:
+        """Drop what is known of the documents: the store is another one than before."""
         for shares in self.shares.values():
             shares.set_back()
 
-    # What the port tells: a thing is (viewing, number) of a tune-in.
+    # Reports of the port. A `tune_in` is identified by (viewing, number).
 
-    def reserve(self, thing: Hashable, wholes: Iterable[str]) -> None:
-        self.tally.reserve(self.clock(), thing, wholes)
+    def reserve(self, tune_in: Hashable, budgets: Iterable[str]) -> None:
+        """Reserve room for a tune-in that is to be sent."""
+        self.usage.reserve(self.clock(), tune_in, budgets)
 
-    def leaves(self, thing: Hashable) -> bool:
-        """Whether it may leave now: every part that it counts for still covers it."""
-        fine = self.tally.leaves(self.clock(), thing)
-        if not fine:
-            log.info("budget gone before it left", thing=thing)
-        return fine
+    def may_send(self, tune_in: Hashable) -> bool:
+        """Return whether a tune-in may be sent now: every share that it counts against still covers it."""
+        covered = self.usage.leaves(self.clock(), tune_in)
+        if not covered:
+            log.info("budget share lost before the tune-in was sent", thing=tune_in)
+        return covered
 
-    def adopted(self, thing: Hashable, wholes: Iterable[str]) -> None:
-        self.tally.adopted(self.clock(), thing, wholes)
+    def adopted(self, tune_in: Hashable, budgets: Iterable[str]) -> None:
+        """Count a tune-in of an earlier process whose viewing was adopted."""
+        self.usage.adopted(self.clock(), tune_in, budgets)
 
-    def over(self, thing: Hashable, sure: bool = True) -> None:
-        """It is over, or (not `sure`) nobody here will hear of its end."""
-        (self.tally.over if sure else self.tally.lost)(self.clock(), thing)
-        self.nudge.set()
+    def ended(self, tune_in: Hashable, confirmed: bool = True) -> None:
+        """Release a tune-in that has ended, or (not `confirmed`) one whose end will not be reported here."""
+        (self.usage.over if confirmed else self.usage.lost)(self.clock(), tune_in)
+        self.wakeup.set()
 
-    def short(self, whole: str) -> None:
-        self.shares[whole].refused(self.clock())
-        self.nudge.set()
+    def request_more(self, budget: str) -> None:
+        """Record that work was refused for lack of this budget, so that a larger share is requested."""
+        self.shares[budget].refused(self.clock())
+        self.wakeup.set()
 
     def leave(self) -> None:
-        """This controller ends: what it does not use is given back at once."""
+        """Return everything unused at once, because this controller is shutting down."""
         now = self.clock()
         for shares in self.shares.values():
             shares.leaving, shares.due = True, now
-        self.nudge.set()
+        self.wakeup.set()
 
     @property
     def released(self) -> bool:
-        """Whether nothing here is ours any more."""
+        """Whether this controller has no share left."""
         return all(s.division is None or s.me not in s.division.parts for s in self.shares.values())
 
     def run(self) -> None:
-        """Commit what is due, for ever; each on a greenlet of its own, so that none waits for another."""
+        """Commit what is due; never returns.
+
+        Each commit has its own greenlet, so that none blocks another.
+        """
         while True:
             try:
                 due = [shares for shares in self.shares.values() if shares.due <= self.clock()]
-                live = self.live() if due else None
+                live = self.live_claims() if due else None
                 for shares in due:
                     if (commit := shares.step(self.clock(), live)) is not None:
                         gevent.spawn(self._send, shares, commit)
-                for name, room in self.tally.rooms(self.clock()):
-                    self.given(name, room)
+                for name, room in self.usage.rooms(self.clock()):
+                    self.on_room_change(name, room)
             except Exception:
-                log.exception("a fault of ours; the budgets go on")
-            self.nudge.clear()
-            self.nudge.wait(LOOK)
+                log.exception("internal error in the budgets; they continue")
+            self.wakeup.clear()
+            self.wakeup.wait(POLL_SECONDS)
 
     def _send(self, shares: Shares, commit: Commit) -> None:
         name = shares.terms.name
         try:
-            reply = self.swap(m.swap_body(self.keys[name], commit.base, commit.data))
-        except self.faults as fault:
+            reply = self.commit(m.swap_body(self.keys[name], commit.base, commit.data))
+        except self.network_errors as error:
             self.unknown_outcomes += 1
-            # Once for each commit: the same word a hundred times a second hides the others on the page.
-            told = log.debug if shares.ledger.doubt else log.warning
-            told("budget: outcome unknown, sent again", budget=name, cause=repr(fault))
+            # One warning per commit: repeated a hundred times a second it would hide other messages.
+            write_log = log.debug if shares.ledger.doubt else log.warning
+            write_log("budget commit: outcome unknown, retrying", budget=name, cause=repr(error))
             shares.unanswered(self.clock(), commit)
             return
         at = reply.header.revision
         revision, version, data = (at, at, commit.data) if reply.succeeded else reply.shown
         shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
-        self.nudge.set()
+        self.wakeup.set()
 
     def status(self) -> dict:
-        """Where each budget stands here, for operators."""
-        now, told = self.clock(), {}
+        """Return the state of each budget on this controller, for operators."""
+        now, status = self.clock(), {}
         for name, s in self.shares.items():
             d = s.division
-            told[name] = {
+            status[name] = {
                 "whole": d.whole if d else None, "open": bool(d and d.open), "mine": s.mine(now),
                 "use": s.use(now), "want": s.want(now), "doubt": s.ledger.doubt, "bad": s.bad,
                 "parts": {m: p._asdict() for m, p in sorted(d.parts.items())} if d else {},
             }  # fmt: skip
-        return told
+        return status
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -1,8 +1,9 @@
-"""The DASH front: manifests whose address and token are one viewing's, and the keys that streamers check by.
+"""The DASH service: manifests whose URL and token belong to one viewing, and the keys that verify the tokens.
 
-A player's *line* is what it holds on to: the secret address where it fetches its manifest again. The viewing
-behind a line may change (its streamer died, the module moved it, its player paused too long): the next
-manifest then comes from a new one. A line has one viewing at a time, however many tabs and retries ask.
+A *player session* is what one player holds: the secret URL where it refreshes its manifest. The viewing
+behind it may be replaced (its streamer failed, the controller moved it, the player paused too long); the next
+manifest then comes from a new viewing. A player session has one viewing at a time, however many tabs and
+retries request it.
 """
 
 import json
@@ -26,15 +27,19 @@
 from herongap.interface import EndReason
 
 JSON = "application/json"
-OPEN = (("Access-Control-Allow-Origin", "*"),)  # players run in browsers
-RELOAD = 30.0  # seconds between two looks at the keys
+CORS = (("Access-Control-Allow-Origin", "*"),)  # players run in browsers
+KEY_RELOAD_SECONDS = 30.0
+CLOSE_TIMEOUT_SECONDS = 3.0
+EXPIRY_CHECKS_PER_REQUEST = 8
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, eq=False)
-class Line:
-    """One player's line. `turn` counts its viewings, those that were refused too; `used` is when it was last
-    asked for.
+class PlayerSession:
+    """One player's session.
+
+    `attempt` counts the viewings requested for it, including rejected ones; `last_used` is the time of the
+    last request.
     """
 
     secret: str
@@ -44,8 +49,8 @@
     owner: str | None
     holders: frozenset
     top: str
-    used: float
-    turn: int = 0
+    last_used: float
+    attempt: int = 0
     session: Session | None = None
     closed: bool = False
     doubt: Doubt = field(default_factory=Doubt)
@@ -54,176 +59,189 @@
 class DashService:
     """Serves /dash/TITLE, /manifests/SECRET and the key set."""
 
-    def __init__(self, terms: DashPart, door: SessionService, wall: Callable[[], float] = time.time):
-        self.terms, self.door, self.wall = terms, door, wall
-        self.keys = KeyStore(terms.keys, terms.rotate, terms.ahead, terms.token)
-        self.lines: OrderedDict[str, Line] = OrderedDict()
-        self.by_key: dict[tuple, Line] = {}
-        self._loaded = 0.0
-        self._videos = tuple(Video(rate) for rate in door.site.charter.ladder)
-        self._update = min(terms.update, terms.token / 2)
+    def __init__(self, settings: DashPart, service: SessionService, wall: Callable[[], float] = time.time):
+        self.settings, self.service, self.wall = settings, service, wall
+        self.keys = KeyStore(settings.keys, settings.rotate, settings.ahead, settings.token)
+        self.players: OrderedDict[str, PlayerSession] = OrderedDict()
+        self.players_by_key: dict[tuple, PlayerSession] = {}
+        self._loaded_at = 0.0
+        self._videos = tuple(Video(rate) for rate in service.site.charter.ladder)
+        self._update = min(settings.update, settings.token / 2)
 
     def load(self) -> None:
-        """Read the keys, make one if it is due; raises OSError."""
+        """Read the keys and create one if it is due; raises OSError."""
         self.keys.load(self.wall())
-        self._loaded = self.door.clock()
+        self._loaded_at = self.service.clock()
 
     def handle(self, path: list[str], request: Request, peer: Peer) -> Reply | None:
-        """A request of this front's, None for any other."""
+        """Answer a request to one of the DASH paths; None for any other path."""
         if path == [".well-known", "jwks.json"] and request.method in ("GET", "HEAD"):
             self._reload_keys_if_due()
-            kept = ("Cache-Control", f"max-age={int(self.terms.ahead / 4)}")
+            cache = ("Cache-Control", f"max-age={int(self.settings.ahead / 4)}")
             keys = json.dumps(self.keys.jwks(self.wall())).encode()
-            return Reply(200, (("Content-Type", JSON), kept), keys)
+            return Reply(200, (("Content-Type", JSON), cache), keys)
         if len(path) != 2 or path[0] not in ("dash", "manifests") or not path[1]:
             return None
-        # No HEAD: to say what a manifest would be, a viewing would have to be set up.
+        # HEAD is not allowed: to answer it, a viewing would have to be set up.
         allowed = ("GET", "DELETE") if path[0] == "manifests" else ("GET",)
         if request.method not in allowed:
             return problem("bad-method", headers=[("Allow", ", ".join(allowed))])
-        serve = self._first if path[0] == "dash" else self._again
+        serve = self._join if path[0] == "dash" else self._refresh
         return serve(path[1], request, peer)
 
-    # Lines.
-
-    def _first(self, title: str, request: Request, peer: Peer) -> Reply:
-        if isinstance(known := self.door.knock("dash", title, request), Reply):
-            return known
-        owner, package, holders = known
-        now = self.door.clock()
-        self._forget(now)
-        # A player that names its session asks again for the same line: after a time-out, in another tab.
-        named = request.query.get("session") or self._reported(request).get("sid")
-        key = (owner, title, package, named or secrets.token_urlsafe(18))
-        line = self.by_key.get(key)
-        if line is None or line.closed:
+    # Player sessions.
+
+    def _join(self, title: str, request: Request, peer: Peer) -> Reply:
+        if isinstance(authorized := self.service.authorize("dash", title, request), Reply):
+            return authorized
+        owner, package, holders = authorized
+        now = self.service.clock()
+        self._expire(now)
+        # A player that names its session gets the same player session again, after a timeout or in another
+        # tab.
+        name = request.query.get("session") or self._cmcd(request).get("sid")
+        key = (owner, title, package, name or secrets.token_urlsafe(18))
+        player = self.players_by_key.get(key)
+        if player is None or player.closed:
             top = request.query.get("top", "")
             secret = secrets.token_urlsafe(18)
-            line = Line(secret, key, title, package, owner, frozenset(holders), top, now)
-            self.lines[secret] = self.by_key[key] = line
-        return self._manifest(line, request, peer)
+            player = PlayerSession(secret, key, title, package, owner, frozenset(holders), top, now)
+            self.players[secret] = self.players_by_key[key] = player
+        return self._manifest(player, request, peer)
 
-    def _again(self, secret: str, request: Request, peer: Peer) -> Reply:
-        line = self.lines.get(secret)
-        if line is None or line.closed:
+    def _refresh(self, secret: str, request: Request, peer: Peer) -> Reply:
+        player = self.players.get(secret)
+        if player is None or player.closed:
             return problem("manifest-over")
         if request.method != "DELETE":
-            return self._manifest(line, request, peer)
-        line.closed = True
-        if (session := line.session) and self._life(session):
-            self.door.host.left(self.door.clock(), session.viewing)
-            session.closed.wait(3.0)
-        return Reply(200, OPEN)
-
-    def _forget(self, now: float) -> None:
-        """Lines that nobody asked for since `remember` seconds, and behind which nothing plays."""
-        for secret, line in list(self.lines.items())[:8]:
-            if now - line.used < self.door.site.front.remember:
+            return self._manifest(player, request, peer)
+        player.closed = True
+        if (session := player.session) and self._playing(session):
+            self.service.host.left(self.service.clock(), session.viewing)
+            session.closed.wait(CLOSE_TIMEOUT_SECONDS)
+        return Reply(200, CORS)
+
+    def _expire(self, now: float) -> None:
+        """Drop player sessions that were not used for `remember` seconds and have no playing viewing."""
+        for secret, player in list(self.players.items())[:EXPIRY_CHECKS_PER_REQUEST]:
+            if now - player.last_used < self.service.site.front.remember:
                 break
-            if line.session and self._life(line.session):
-                # It plays on: looked at again when its turn comes round.
-                line.used = now
-                self.lines.move_to_end(secret)
+            if player.session and self._playing(player.session):
+                # Still playing: moved to the end of the queue and checked again later.
+                player.last_used = now
+                self.players.move_to_end(secret)
                 continue
-            del self.lines[secret]
-            if self.by_key.get(line.key) is line:
-                del self.by_key[line.key]
+            del self.players[secret]
+            if self.players_by_key.get(player.key) is player:
+                del self.players_by_key[player.key]
 
     # Manifests.
 
-    def _manifest(self, line: Line, request: Request, peer: Peer) -> Reply:
-        line.used = self.door.clock()
-        self.lines.move_to_end(line.secret)
-        # A viewing may end between its answer and this line: then once more, with a new one.
+    def _manifest(self, player: PlayerSession, request: Request, peer: Peer) -> Reply:
+        player.last_used = self.service.clock()
+        self.players.move_to_end(player.secret)
+        # A viewing may end between its answer and the check below; a second one is then requested.
         for _ in range(2):
-            session = line.session
-            life = session and self._life(session)
-            if life and self._given_up(line, session, life):
-                life = None
-            if not life:
-                turn = line.turn
-                session = self.door.enter(self._wish(line, turn), peer)
-                if line.turn == turn:
-                    # Whatever came of it: what is asked for next is another viewing.
-                    line.turn += 1
+            session = player.session
+            hosted = session and self._playing(session)
+            if hosted and self._given_up(player, session, hosted):
+                hosted = None
+            if not hosted:
+                attempt = player.attempt
+                session = self.service.open_session(self._session_request(player, attempt), peer)
+                if player.attempt == attempt:
+                    # Whatever the outcome, the next request is for another viewing.
+                    player.attempt += 1
                 if isinstance(session, Reply):
-                    return session._replace(headers=(*session.headers, *OPEN))
-                if line.closed:
-                    self.door.host.left(self.door.clock(), session.viewing)
+                    return session._replace(headers=(*session.headers, *CORS))
+                if player.closed:
+                    self.service.host.left(self.service.clock(), session.viewing)
                     return problem("manifest-over")
-                if line.session is not session:
-                    line.session, line.doubt = session, Doubt()
-                life = self._life(session)
-            if life:
-                return self._write(line, session, life, request)
+                if player.session is not session:
+                    player.session, player.doubt = session, Doubt()
+                hosted = self._playing(session)
+            if hosted:
+                return self._write(player, session, hosted, request)
         return problem("aborted", cause="broken")
 
-    def _given_up(self, line: Line, session: Session, life) -> bool:
-        """Whether a viewing that its player seems not to be served by any more was ended just now."""
-        if not line.doubt.asked(self.door.clock(), self._update):
+    def _given_up(self, player: PlayerSession, session: Session, hosted) -> bool:
+        """End a viewing that its player seems no longer to be served by; return whether it was ended."""
+        if not player.doubt.asked(self.service.clock(), self._update):
             return False
-        number, there = life.number, self.door.port.there(session.remote)
-        now = self.door.clock()
-        if not line.doubt.answered(now, there) or self._life(session) is not life:
+        number, exists = hosted.number, self.service.port.session_exists(session.remote)
+        now = self.service.clock()
+        if not player.doubt.answered(now, exists) or self._playing(session) is not hosted:
             return False
-        log.info("player believed", viewing=session.viewing, streamer=life.streamer, there=there)
-        if there is None:
-            # It may play on there, unseen from here: it is told to stop as soon as it can be.
-            self.door.host.left(now, session.viewing)
+        log.info(
+            "viewing given up after early manifest requests",
+            viewing=session.viewing,
+            streamer=hosted.streamer,
+            there=exists,
+        )
+        if exists is None:
+            # It may still play at a streamer that cannot be reached: it is torn down as soon as possible.
+            self.service.host.left(now, session.viewing)
         else:
-            self.door.host.ended(now, session.viewing, number, EndReason.BROKEN)
+            self.service.host.ended(now, session.viewing, number, EndReason.BROKEN)
         return True
 
-    def _life(self, session: Session):
-        life = self.door.host.viewings.get(session.viewing)
-        return life if life and life.state is ViewingState.PLAYING else None
+    def _playing(self, session: Session):
+        hosted = self.service.host.viewings.get(session.viewing)
+        return hosted if hosted and hosted.state is ViewingState.PLAYING else None
 
-    def _wish(self, line: Line, turn: int) -> SessionRequest:
-        site, package = self.door.site, self.door.packages[line.package]
-        # What joins the streamers' logs to the player's; each viewing of a line has its own.
-        body = {"identity": f"{line.key[-1]}/{turn}", "floor": package.floor, "top": package.top}
+    def _session_request(self, player: PlayerSession, attempt: int) -> SessionRequest:
+        site, package = self.service.site, self.service.packages[player.package]
+        # The identity joins the streamers' logs to the player's; each viewing of a player session has its
+        # own.
+        body = {"identity": f"{player.key[-1]}/{attempt}", "floor": package.floor, "top": package.top}
         return SessionRequest(
-            "dash", line.title, line.package, line.owner, line.holders, ("line", line.secret, turn), "",
-            line.secret, JSON, json.dumps(body).encode(), site.patience[line.package], line.top,
+            "dash", player.title, player.package, player.owner, player.holders,
+            ("line", player.secret, attempt), "", player.secret, JSON, json.dumps(body).encode(),
+            site.patience[player.package], player.top,
         )  # fmt: skip
 
-    def _write(self, line: Line, session: Session, life, request: Request) -> Reply:
+    def _write(self, player: PlayerSession, session: Session, hosted, request: Request) -> Reply:
         self._reload_keys_if_due()
-        now, package = self.wall(), self.door.packages[line.package]
-        streamer, member = str(life.streamer), self.door.site.tokens[line.owner].member if line.owner else ""
-        # The rung that the module allows now is the token's top: a raise comes with the next manifest.
+        now, package = self.wall(), self.service.packages[player.package]
+        streamer, member = (
+            str(hosted.streamer),
+            self.service.site.tokens[player.owner].member if player.owner else "",
+        )
+        # The rung that is allowed now is the token's top: a raise takes effect with the next manifest.
         grant = Grant(
-            f"{self.door.port.name}/{session.viewing}", line.title, line.package, member,
-            min(package.floor, life.rung), life.rung, streamer, now, now + self.terms.token,
+            f"{self.service.port.name}/{session.viewing}", player.title, player.package, member,
+            min(package.floor, hosted.rung), hosted.rung, streamer, now, now + self.settings.token,
         )  # fmt: skip
         token = self.keys.mint(now, grant)
-        host, port = self.door.port.addresses[life.streamer]
-        base = f"http://{host}:{port}/dash/{quote(line.title, safe='')}/{token}/"
-        near = self.terms.url or f"http://{request.headers.get('host', '')}"
-        location = f"{near}/manifests/{line.secret}"
-        body = manifest(self._asset(line.title), grant.floor, grant.top, base, location, now, self._update)
-        told = (
+        host, port = self.service.port.addresses[hosted.streamer]
+        segment_base = f"http://{host}:{port}/dash/{quote(player.title, safe='')}/{token}/"
+        own_base = self.settings.url or f"http://{request.headers.get('host', '')}"
+        location = f"{own_base}/manifests/{player.secret}"
+        body = manifest(
+            self._asset(player.title), grant.floor, grant.top, segment_base, location, now, self._update
+        )
+        headers = (
             ("Content-Type", MPD), ("Cache-Control", "no-store"), ("Content-Location", location),
-            ("ETag", f'"{line.turn - 1}"'), *OPEN,
+            ("ETag", f'"{player.attempt - 1}"'), *CORS,
         )  # fmt: skip
-        return Reply(200, told, body)
+        return Reply(200, headers, body)
 
     def _asset(self, title: str) -> Asset:
-        recorded = self.door.catalogue.lengths.get(title)
-        if recorded is None:
-            # A live title's segments are counted from the epoch, so that all fronts count alike.
-            return Asset(self._videos, self.terms.segment, began=0.0)
-        return Asset(self._videos, self.terms.segment, length=recorded)
+        length = self.service.catalogue.lengths.get(title)
+        if length is None:
+            # Segments of a live title are numbered from the epoch, so that all controllers agree.
+            return Asset(self._videos, self.settings.segment, began=0.0)
+        return Asset(self._videos, self.settings.segment, length=length)
 
-    def _reported(self, request: Request) -> dict:
+    def _cmcd(self, request: Request) -> dict:
         return read_cmcd(request.query.get("CMCD"), request.headers)
 
     def _reload_keys_if_due(self) -> None:
-        if self.door.clock() - self._loaded < RELOAD:
+        if self.service.clock() - self._loaded_at < KEY_RELOAD_SECONDS:
             return
         try:
             self.load()
-        except OSError as fault:
-            # What is held goes on signing; a rotation that is late is no reason to turn players away.
-            self._loaded = self.door.clock()
-            log.error("keys not read", cause=str(fault))
+        except OSError as error:
+            # Signing continues with the loaded keys: a late rotation is no reason to reject players.
+            self._loaded_at = self.service.clock()
+            log.error("keys not reloaded", cause=str(error))
--- a/herongap/daemon/errors.py
+++ b/herongap/daemon/errors.py
@@ -1,9 +1,9 @@
-"""The errors of the gevent shell that more than one file raises."""
+"""Errors that several modules of the daemon raise."""
 
 from herongap.errors import HerongapError
 
 
 class PeerDisconnectedError(HerongapError):
-    """The peer hung up, or was too slow; nothing can be said to it."""
+    """The peer closed the connection or was too slow; no reply can be sent to it."""
 
     advice = "see the peer and the way there"
--- a/herongap/daemon/file_watcher.py
+++ b/herongap/daemon/file_watcher.py
@@ -1,4 +1,4 @@
-"""Files that are read again when they change: the list of streamers and the catalogue."""
+"""Files that are read again when they change: the streamer list and the catalogue."""
 
 import os
 import time
@@ -11,33 +11,34 @@
 
 
 class FileWatcher:
-    """Calls `changed` with a file's bytes at once and whenever it is another; a bad file leaves the last
-    good one.
+    """Calls `on_change` with a file's content at the first read and whenever the file changes.
+
+    If a changed file cannot be used, the last good content stays in effect.
     """
 
-    def __init__(self, path: str, changed: Callable[[bytes], None], look: float):
-        self.path, self.changed, self.look, self.seen = path, changed, look, None
+    def __init__(self, path: str, on_change: Callable[[bytes], None], interval: float):
+        self.path, self.on_change, self.interval, self.last_signature = path, on_change, interval, None
 
     def read(self) -> None:
-        """Look once; raises OSError or ValueError if the file cannot be used."""
+        """Check the file once; raises OSError or ValueError if it cannot be used."""
         status = os.stat(self.path)
-        mark = status.st_mtime_ns, status.st_size, status.st_ino
-        if mark != self.seen:
+        signature = status.st_mtime_ns, status.st_size, status.st_ino
+        if signature != self.last_signature:
             with open(self.path, "rb") as file:
                 data = file.read()
-            self.seen = mark
-            self.changed(data)
+            self.last_signature = signature
+            self.on_change(data)
 
     def run(self) -> None:
-        """Look for ever."""
+        """Check the file periodically; never returns."""
         while True:
-            gevent.sleep(self.look)
+            gevent.sleep(self.interval)
             try:
                 self.read()
-            except (OSError, ValueError) as fault:
-                log.error("file not taken, the last good one stays", path=self.path, cause=str(fault))
+            except (OSError, ValueError) as error:
+                log.error("file rejected, the last good one stays", path=self.path, cause=str(error))
 
 
 def epoch_on_clock(clock: Callable[[], float]) -> float:
-    """The host's clock at the zero of the wall clock's epoch."""
+    """Return the reading of the host's clock at the Unix epoch."""
     return clock() - time.time()
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -1,4 +1,4 @@
-"""Carries datagrams between a UDP socket and `herongap.gossip`, which decides who lives, who hears whom."""
+"""Carries datagrams between a UDP socket and `herongap.gossip`, which keeps the membership of the fleet."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -12,74 +12,76 @@
 from herongap.ini.parts import GossipPart
 
 log = structlog.get_logger()
-READ = 65536
+READ_SIZE_BYTES = 65536
 
 
 class GossipMember:
-    """One controller's membership on its socket. `life` tells one process under a number from the next.
+    """One controller's membership, on a UDP socket of its own.
 
-    `changed()` is called when somebody came, or is gone.
+    `incarnation` tells the processes apart that run under the same controller number. `on_change()` is called
+    when a member joined, left or changed its status.
     """
 
-    def __init__(self, part: GossipPart, number: int, life: int, zone: str, seed: int,
-                 clock: Callable[[], float], changed: Callable[[], None] = lambda: None):  # fmt: skip
-        self.clock, self.changed = clock, changed
+    def __init__(self, part: GossipPart, number: int, incarnation: int, zone: str, seed: int,
+                 clock: Callable[[], float], on_change: Callable[[], None] = lambda: None):  # fmt: skip
+        self.clock, self.on_change = clock, on_change
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(read_address(part.listen))
         host, port = read_address(part.advertise) if part.advertise else self.sock.getsockname()
         terms = Terms(every=part.every, patience=part.patience)
-        me = Word(number, life, 0, Standing.ALIVE, host, port, zone)
+        me = Word(number, incarnation, 0, Standing.ALIVE, host, port, zone)
         self.gossip = Gossip(clock(), me, part.fleet, terms, seed)
         self.gossip.known([read_address(seed) for seed in part.seeds])
-        self.before: dict[int, tuple[int, Standing]] = {}
-        self.said = -1  # the changes of the book that were told so far
+        self.reported_members: dict[int, tuple[int, Standing]] = {}
+        self.reported_changes = -1  # the membership's change counter when it was last reported
 
     def run(self) -> None:
-        """Ask whenever something is due, for ever."""
+        """Send probes and updates whenever they are due; never returns."""
         while True:
             try:
-                self.carry(self.gossip.tick(self.clock()))
+                self.send(self.gossip.tick(self.clock()))
             except Exception:
-                log.exception("a fault of ours; membership goes on")
+                log.exception("internal error in the membership protocol; it continues")
             gevent.sleep(max(0.005, self.gossip.due - self.clock()))
 
     def listen(self) -> None:
-        """Take what comes, until the socket is closed."""
+        """Process incoming datagrams until the socket is closed."""
         while True:
             try:
-                data, sender = self.sock.recvfrom(READ)
+                data, sender = self.sock.recvfrom(READ_SIZE_BYTES)
             except OSError:
                 return
             try:
-                self.carry(self.gossip.heard(self.clock(), data, sender))
+                self.send(self.gossip.heard(self.clock(), data, sender))
             except Exception:
-                log.exception("a fault of ours; the datagram is passed over", peer=sender[0])
+                log.exception("internal error while processing a datagram; it is dropped", peer=sender[0])
 
-    def carry(self, out: list[tuple[Address, bytes]]) -> None:
-        for address, data in out:
-            # Lost like any other: whoever waits for it asks again.
+    def send(self, datagrams: list[tuple[Address, bytes]]) -> None:
+        """Send datagrams, then report any membership change."""
+        for address, data in datagrams:
+            # A failed send is a lost datagram: the protocol retries.
             with suppress(OSError):
                 self.sock.sendto(data, address)
-        self._say()
+        self._report_changes()
 
-    def _say(self) -> None:
-        if self.said == self.gossip.book.changes:
+    def _report_changes(self) -> None:
+        if self.reported_changes == self.gossip.book.changes:
             return
-        self.said = self.gossip.book.changes
+        self.reported_changes = self.gossip.book.changes
         now = {n: (x.life, Standing(x.standing)) for n, x in self.gossip.book.words.items()}
-        if now == self.before:
+        if now == self.reported_members:
             return
-        for number in now.keys() | self.before.keys():
-            if now.get(number) != self.before.get(number):
-                life, standing = now.get(number, (0, None))
-                word = standing.name.lower() if standing is not None else "forgotten"
-                told = log.debug if standing == Standing.SUSPECT else log.info
-                told("member", number=number, life=life, standing=word)
-        self.before = now
-        self.changed()
+        for number in now.keys() | self.reported_members.keys():
+            if now.get(number) != self.reported_members.get(number):
+                incarnation, status = now.get(number, (0, None))
+                status_name = status.name.lower() if status is not None else "forgotten"
+                write_log = log.debug if status == Standing.SUSPECT else log.info
+                write_log("member", number=number, life=incarnation, standing=status_name)
+        self.reported_members = now
+        self.on_change()
 
     def status(self) -> dict:
-        """Who lives, for operators."""
+        """Return the members and their status, for operators."""
         g, now = self.gossip, self.clock()
         members = {
             str(n): {"life": x.life, "standing": Standing(x.standing).name.lower(), "zone": x.zone,
@@ -92,8 +94,9 @@
         }  # fmt: skip
 
     def leave(self) -> None:
-        """Tell some that this one ends by its own will."""
-        self.carry(self.gossip.leave(self.clock()))
+        """Announce an orderly shutdown to some members."""
+        self.send(self.gossip.leave(self.clock()))
 
     def close(self) -> None:
+        """Close the socket, which also ends `listen`."""
         self.sock.close()
--- a/herongap/daemon/http_connection.py
+++ b/herongap/daemon/http_connection.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on gevent sockets, blocking style: the server side and single calls to streamers.
+"""HTTP/1.1 on gevent sockets, in blocking style: a server, and client connections to streamers and etcd.
 
-h11 does the protocol. gevent's pywsgi is not used: it hides the peer's hanging up while a request is
-handled, and bounds neither header counts nor slow senders, and both matter to a front.
+h11 implements the protocol. gevent's pywsgi is not used: it hides a peer's disconnect while a request is
+handled, and it limits neither header counts nor slow senders.
 """
 
 import socket as plain
@@ -21,16 +21,19 @@
 from herongap.http import Reply, Request, problem
 from herongap.intake import Bounds
 
+READ_SIZE_BYTES = 65536
+MAX_REPLY_HEAD_BYTES = 65536
+
 
 class Peer:
-    """The other end of a connection, while its request is handled."""
+    """The client end of a server connection, while its request is handled."""
 
     def __init__(self, sock: socket.socket, name: str):
         self.sock, self.name, self.gone = sock, name, False
 
     def wait(self, done: Event, seconds: float) -> bool:
-        """Wait for `done`; False if the time is up or the peer hangs up first, which `gone` then tells."""
-        woken = Event()
+        """Wait for `done`; False if the time is up or the peer disconnects first, which sets `gone`."""
+        wakeup = Event()
         watcher = get_hub().loop.io(self.sock.fileno(), 1)
 
         def readable() -> None:
@@ -39,27 +42,28 @@
                     more = self.sock._sock.recv(1, plain.MSG_PEEK | plain.MSG_DONTWAIT)
                 except OSError:
                     more = b""
-                watcher.stop()  # bytes of a next request hide a later end from us: then nobody is gone
+                # Bytes of a next request hide a later disconnect: the peer then counts as connected.
+                watcher.stop()
                 if not more:
                     self.gone = True
-                    woken.set()
+                    wakeup.set()
 
-        def link(_) -> None:
-            woken.set()
+        def wake(_) -> None:
+            wakeup.set()
 
-        done.rawlink(link)
+        done.rawlink(wake)
         watcher.start(readable)
         try:
-            woken.wait(max(0.0, seconds))
+            wakeup.wait(max(0.0, seconds))
         finally:
             watcher.stop()
             watcher.close()
-            done.unlink(link)
+            done.unlink(wake)
         return done.is_set()
 
 
 def serve(sock: socket.socket, name: str, handle: Callable[[Request, Peer], Reply], bounds: Bounds) -> None:
-    """Serve one connection until it ends. `handle` may block, and may raise: that is answered with 500."""
+    """Serve one connection until it ends. `handle` may block; an exception of it is answered with 500."""
     sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=bounds.header)
     peer = Peer(sock, name)
@@ -76,9 +80,9 @@
 def _serve_one(sock, conn, peer, handle, bounds) -> bool:
     try:
         request = _read_request(sock, conn, peer, bounds)
-    except h11.RemoteProtocolError as fault:
-        kind = "header-too-large" if fault.error_status_hint == 431 else "bad-request"
-        _send(sock, conn, problem(kind, str(fault)), "", bounds, close=True)
+    except h11.RemoteProtocolError as error:
+        kind = "header-too-large" if error.error_status_hint == 431 else "bad-request"
+        _send(sock, conn, problem(kind, str(error)), "", bounds, close=True)
         return False
     except gevent.Timeout:
         _send(sock, conn, problem("slow-request"), "", bounds, close=True)
@@ -92,22 +96,22 @@
         reply = handle(request, peer)
     except PeerDisconnectedError:
         raise
-    except Exception as fault:
-        get_hub().handle_error(gevent.getcurrent(), *_exc(fault))
+    except Exception as error:
+        get_hub().handle_error(gevent.getcurrent(), *_exc_info(error))
         reply = problem("internal")
     _send(sock, conn, reply, request.method, bounds, close=False)
     return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
 
-def _exc(fault: Exception) -> tuple:
-    return type(fault), fault, fault.__traceback__
+def _exc_info(error: Exception) -> tuple:
+    return type(error), error, error.__traceback__
 
 
 def _read_request(sock, conn, peer, bounds) -> Request | Reply | None:
     head = None
     body, size = [], 0
     deadline = time.monotonic() + bounds.idle_seconds
-    begun = False
+    started = False
     while True:
         event = conn.next_event()
         if event is h11.NEED_DATA:
@@ -116,21 +120,21 @@
             try:
                 data = _receive(sock, deadline)
             except gevent.Timeout:
-                if begun:
+                if started:
                     raise
-                return None  # an idle connection is closed without a word
-            if not data and head is None and not begun:
+                return None  # an idle connection is closed without a reply
+            if not data and head is None and not started:
                 return None
-            if not begun:
-                # One time for the whole head: a byte a second must not hold a connection for hours.
-                begun, deadline = True, time.monotonic() + bounds.header_seconds
+            if not started:
+                # One deadline for the whole head: a byte a second must not hold a connection for hours.
+                started, deadline = True, time.monotonic() + bounds.header_seconds
             conn.receive_data(data)
         elif isinstance(event, h11.Request):
             head = event
             deadline = time.monotonic() + bounds.body_seconds
             length = dict(event.headers).get(b"content-length")
             if length is not None and int(length) > bounds.body:
-                # Said before the body is read: nobody waits for a hundred megabytes to be refused.
+                # Refused before the body is read, so that a client need not send a hundred megabytes first.
                 return problem("too-large", f"at most {bounds.body} bytes")
         elif isinstance(event, h11.Data):
             size += len(event.data)
@@ -157,17 +161,17 @@
         raise gevent.Timeout(0)
     sock.settimeout(left)
     try:
-        return sock.recv(65536)
-    except TimeoutError as slow:
-        raise gevent.Timeout(left) from slow
+        return sock.recv(READ_SIZE_BYTES)
+    except TimeoutError as error:
+        raise gevent.Timeout(left) from error
 
 
 def _write(sock, data: bytes, bounds) -> None:
     sock.settimeout(bounds.write_seconds)
     try:
         sock.sendall(data)
-    except TimeoutError as slow:
-        raise PeerDisconnectedError("slow reader") from slow
+    except TimeoutError as error:
+        raise PeerDisconnectedError("slow reader") from error
 
 
 def _send(sock, conn, reply: Reply, method: str, bounds, close: bool) -> None:
@@ -190,7 +194,7 @@
             out += conn.send(h11.Data(data=body))
         _write(sock, out + conn.send(h11.EndOfMessage()), bounds)
         if close:
-            _linger(sock)
+            _drain_before_close(sock)
         return
     _write(sock, out, bounds)
     for chunk in body:
@@ -198,30 +202,30 @@
     _write(sock, conn.send(h11.EndOfMessage()), bounds)
 
 
-def _linger(sock) -> None:
-    # Closed with bytes unread, TCP resets the connection and the refusal is lost on its way to the peer.
+def _drain_before_close(sock) -> None:
+    # If the socket were closed with unread bytes, TCP would reset the connection and the reply could be lost.
     with suppress(OSError, TimeoutError):
         sock.shutdown(plain.SHUT_WR)
         sock.settimeout(0.5)
         for _ in range(64):
-            if not sock.recv(65536):
+            if not sock.recv(READ_SIZE_BYTES):
                 break
 
 
 class ClientConnection:
-    """One request to a streamer on a connection of its own or an idle one."""
+    """A connection to a server, for one request at a time."""
 
     def __init__(self, address: Address, connect: float):
-        """Connect; raises OSError. No byte of a request has been sent when it does."""
+        """Connect, within `connect` seconds; raises OSError, in which case no byte of a request was sent."""
         self.sock = socket.create_connection(address, timeout=connect)
         self.sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-        self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
+        self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_REPLY_HEAD_BYTES)
         self.host = f"{address[0]}:{address[1]}"
 
     def send(
         self, method: str, target: str, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
     ) -> None:
-        """Send a request; raises OSError if not all of it could be handed to the network."""
+        """Send a request; raises OSError if it could not be handed to the network completely."""
         head = [("Host", self.host), ("Content-Length", str(len(body))), *headers]
         out = self.conn.send(h11.Request(method=method, target=target, headers=head))
         if body:
@@ -229,32 +233,35 @@
         self.sock.settimeout(5.0)
         self.sock.sendall(out + self.conn.send(h11.EndOfMessage()))
 
-    def receive(self, time_out: float, most: int = 1 << 20) -> Reply:
-        """The whole reply; raises OSError (TimeoutError, ConnectionResetError) or h11.RemoteProtocolError."""
+    def receive(self, time_out: float, max_size: int = 1 << 20) -> Reply:
+        """Read the whole reply, at most `max_size` bytes of body.
+
+        Raises OSError (TimeoutError, ConnectionResetError) or h11.RemoteProtocolError.
+        """
         deadline = time.monotonic() + time_out
         head, chunks = self.head(deadline), []
         while (chunk := self._data(deadline)) is not None:
             chunks.append(chunk)
-            if sum(map(len, chunks)) > most:
-                raise h11.RemoteProtocolError("the reply is too large")
+            if sum(map(len, chunks)) > max_size:
+                raise h11.RemoteProtocolError("reply too large")
         return Reply(head.status, head.headers, b"".join(chunks))
 
     def head(self, deadline: float) -> Reply:
-        """The status and headers of the reply."""
+        """Read the status and headers of the reply."""
         while True:
             event = self._event(deadline)
             if isinstance(event, h11.Response):
                 headers = tuple((k.decode("ascii"), v.decode("latin-1")) for k, v in event.headers)
                 return Reply(event.status_code, headers)
 
-    def chunks(self, quiet: float):
-        """The body as it comes; each chunk may take `quiet` seconds."""
-        while (chunk := self.chunk(quiet)) is not None:
+    def chunks(self, timeout: float):
+        """Yield the body as it arrives; each chunk may take `timeout` seconds."""
+        while (chunk := self.chunk(timeout)) is not None:
             yield chunk
 
-    def chunk(self, quiet: float) -> bytes | None:
-        """What comes next of the body within `quiet` seconds, None at its end."""
-        return self._data(time.monotonic() + quiet)
+    def chunk(self, timeout: float) -> bytes | None:
+        """Read the next chunk of the body within `timeout` seconds; None at its end."""
+        return self._data(time.monotonic() + timeout)
 
     def _data(self, deadline: float) -> bytes | None:
         event = self._event(deadline)
@@ -266,21 +273,21 @@
             if left <= 0:
                 raise TimeoutError("no answer")
             self.sock.settimeout(left)
-            data = self.sock.recv(65536)
+            data = self.sock.recv(READ_SIZE_BYTES)
             if not data and self.conn.their_state is h11.SEND_RESPONSE:
-                raise ConnectionResetError("closed before the answer")
+                raise ConnectionResetError("connection closed before the answer")
             self.conn.receive_data(data)
         if isinstance(event, h11.ConnectionClosed):
-            raise ConnectionResetError("closed before the answer")
+            raise ConnectionResetError("connection closed before the answer")
         return event
 
-    def hang_up(self) -> None:
-        """Tell the peer that its answer is no longer waited for, and still be able to read it."""
+    def half_close(self) -> None:
+        """Shut down the sending side: the answer is no longer awaited, but can still be read."""
         with suppress(OSError):
             self.sock.shutdown(plain.SHUT_WR)
 
     def reusable(self) -> bool:
-        """Make ready for a next request; False if this connection bears none."""
+        """Prepare for another request; False if this connection cannot carry one."""
         if self.conn.our_state is h11.DONE and self.conn.their_state is h11.DONE:
             self.conn.start_next_cycle()
             return True
@@ -293,21 +300,19 @@
 
 def request_once(address: Address, method: str, target: str, headers=(), body: bytes = b"", time_out=5.0,
               connect=1.0) -> Reply:  # fmt: skip
-    """One request on a connection of its own, and its reply; raises as `ClientConnection` does."""
-    call = ClientConnection(address, connect)
+    """Send one request on a new connection and return its reply; raises as `ClientConnection` does."""
+    connection = ClientConnection(address, connect)
     try:
-        call.send(method, target, headers, body)
-        return call.receive(time_out)
+        connection.send(method, target, headers, body)
+        return connection.receive(time_out)
     finally:
-        call.close()
+        connection.close()
 
 
 class ConnectionPool:
-    """Idle connections to one address, for requests that do no harm when sent twice (PATCH of a rung,
-    DELETE).
-    """
+    """Idle connections to one address, for requests that are safe to send twice (PATCH of a rung, DELETE)."""
 
-    KEEP = 8
+    MAX_IDLE = 8
 
     def __init__(self, address: Address, connect: float):
         self.address, self.connect, self.idle = address, connect, []
@@ -315,44 +320,45 @@
     def call(
         self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes, time_out: float
     ) -> Reply:
-        """One request and its reply; raises OSError or h11.RemoteProtocolError."""
+        """Send one request and return its reply; raises OSError or h11.RemoteProtocolError."""
         deadline = time.monotonic() + time_out
         while self.idle:
-            call = self.idle.pop()
+            connection = self.idle.pop()
             try:
-                return self._on(call, method, target, headers, body, deadline)
+                return self._exchange(connection, method, target, headers, body, deadline)
             except (OSError, h11.ProtocolError):
-                call.close()  # an idle connection may have died unseen: once more on a new one
+                connection.close()  # an idle connection may have been closed unnoticed: retry on another one
                 if time.monotonic() >= deadline:
                     raise
-        call = ClientConnection(self.address, min(self.connect, time_out))
+        connection = ClientConnection(self.address, min(self.connect, time_out))
         try:
-            return self._on(call, method, target, headers, body, deadline)
+            return self._exchange(connection, method, target, headers, body, deadline)
         except BaseException:
-            call.close()
+            connection.close()
             raise
 
-    def keep(self, call: ClientConnection) -> None:
-        """Take a connection whose reply was read whole, or close it."""
-        if len(self.idle) < self.KEEP and call.reusable():
-            self.idle.append(call)
+    def keep(self, connection: ClientConnection) -> None:
+        """Keep a connection whose reply was read completely, or close it."""
+        if len(self.idle) < self.MAX_IDLE and connection.reusable():
+            self.idle.append(connection)
         else:
-            call.close()
+            connection.close()
 
-    def _on(self, call, method, target, headers, body, deadline) -> Reply:
-        call.send(method, target, headers, body)
-        reply = call.receive(max(0.01, deadline - time.monotonic()))
-        self.keep(call)
+    def _exchange(self, connection, method, target, headers, body, deadline) -> Reply:
+        connection.send(method, target, headers, body)
+        reply = connection.receive(max(0.01, deadline - time.monotonic()))
+        self.keep(connection)
         return reply
 
     def close(self) -> None:
-        for call in self.idle:
-            call.close()
+        """Close all idle connections."""
+        for connection in self.idle:
+            connection.close()
         self.idle.clear()
 
 
 class Server:
-    """Accepts connections and serves each in a greenlet of its own."""
+    """Accepts connections and serves each in its own greenlet."""
 
     def __init__(
         self, listener: socket.socket, handle: Callable[[Request, Peer], Reply], bounds: Bounds, intake=None
@@ -366,15 +372,15 @@
         while True:
             try:
                 sock, peer = self.listener.accept()
-            except OSError as fault:
+            except OSError as error:
                 if self.listener.closed:
                     return
-                # Out of descriptors: those that are held go on, and accepting is tried again.
-                get_hub().handle_error(self, *_exc(fault))
+                # Out of file descriptors: open connections continue, and accepting is retried.
+                get_hub().handle_error(self, *_exc_info(error))
                 gevent.sleep(0.1)
                 continue
             if self.intake and not self.intake.connect(peer[0]):
-                gevent.spawn(self._turn_away, sock)
+                gevent.spawn(self._reject, sock)
                 continue
             self.open.add(sock)
             gevent.spawn(self._serve, sock, peer[0])
@@ -387,7 +393,7 @@
             if self.intake:
                 self.intake.disconnect(name)
 
-    def _turn_away(self, sock) -> None:
+    def _reject(self, sock) -> None:
         conn = h11.Connection(h11.SERVER)
         with suppress(OSError, PeerDisconnectedError, h11.LocalProtocolError):
             reply = problem("overloaded", "too many connections", [("Retry-After", "1")])
@@ -396,12 +402,13 @@
             sock.close()
 
     def stop_accepting(self) -> None:
+        """Close the listening socket; open connections continue."""
         self._accepting.kill(block=False)
         with suppress(OSError):
             self.listener.close()
 
     def close(self) -> None:
-        """Stop accepting and cut every connection."""
+        """Stop accepting and shut down every connection."""
         self.stop_accepting()
         for sock in list(self.open):
             with suppress(OSError):
--- a/herongap/daemon/journal.py
+++ b/herongap/daemon/journal.py
@@ -1,13 +1,14 @@
-"""The journal of viewings on disk, written ahead of the effects that depend on it; one lmdb environment.
+"""The journal of viewings on disk: one lmdb environment, written before the effects that depend on it.
 
-    sent      before the tune-in leaves      so that no streamer holds what the journal does not know
-    playing   before the viewer is told      so that no viewer plays what the journal does not know
-    closing   before the teardown leaves     so that what was ending is not taken up again
-    (gone)    after the end                  the latest that can be lost: then the streamer is asked
+    sent      before the tune-in is sent     so that no streamer holds a session the journal does not have
+    playing   before the viewer is answered  so that no viewer plays a session the journal does not have
+    closing   before the teardown is sent    so that a viewing that was ending is not adopted again
+    (gone)    after the end                  this write may be lost: recovery then asks the streamer
 
-Writes reach the operating system at once and the disk when it likes: a killed process loses nothing, a crash
-of the machine perhaps the last moments, and its streamers have ended the viewings by then. A store that
-cannot be written is told once and left: viewings go on, and a restart then takes up what was written before.
+Writes reach the operating system at once and the disk at its own pace. A killed process loses nothing; a
+crash of the machine may lose the last moments, and by the time it is back the streamers have ended those
+viewings. If the journal cannot be written, this is logged once: viewings continue, and a restart adopts only
+what was written before.
 """
 
 import fcntl
@@ -24,22 +25,25 @@
 from herongap.state import Known
 
 FORMAT = 1
-MOST = 512 << 20  # bytes of the environment; a viewing takes about 1 kB
+MAP_SIZE_BYTES = 512 << 20  # a viewing takes about 1 kB
 log = structlog.get_logger()
 
 
 class JournalEntry(msgspec.Struct, array_like=True):
-    """One viewing. `key` and `digest` make its request known again, `remote` is its place at its streamer."""
+    """One viewing.
 
-    known: Known
-    ask: ViewingRequest
+    `repeat_key` and `digest` identify a repeated request, `remote` holds the fields of its `RemoteSession`.
+    """
+
+    stage: Known
+    request: ViewingRequest
     number: int
     streamer: int | str
     rung: int
     protocol: str
     secret: str
     owner: str | None
-    key: list[Any]
+    repeat_key: list[Any]
     digest: str
     remote: list[Any] | None
 
@@ -51,10 +55,10 @@
 
 
 class Journal:
-    """The journal at a path; raises OSError (JournalLockedError among them) if it cannot be opened.
+    """The journal at a path; raises OSError (including JournalLockedError) if it cannot be opened.
 
-    `name` is the front's name at streamers, which a restarted process keeps while it may have viewings there;
-    `boot` counts its processes.
+    `name` is the controller's name at streamers; a restarted process keeps the previous name while it may
+    still have viewings there. `incarnation` counts the processes that have opened this journal.
     """
 
     def __init__(self, path: str, name: str):
@@ -63,40 +67,40 @@
         self._lock = os.open(os.path.join(path, "owner"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError as fault:
+        except BlockingIOError as error:
             os.close(self._lock)
-            raise JournalLockedError(f"{path}: another process keeps its journal there") from fault
+            raise JournalLockedError(f"{path}: another process has its journal there") from error
         self._encode, self._decode = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(JournalEntry)
-        self.env = self._opened()
-        self.entries = self._read()
-        known = self._meta("name")
-        self.name = known if known and self.entries else name
-        self.incarnation = int(self._meta("boot") or 0) + 1
+        self.env = self._open_environment()
+        self.entries = self._read_entries()
+        previous_name = self._read_meta("name")
+        self.name = previous_name if previous_name and self.entries else name
+        self.incarnation = int(self._read_meta("boot") or 0) + 1
         with self.env.begin(write=True) as txn:
             for key, value in (("format", FORMAT), ("name", self.name), ("boot", self.incarnation)):
                 txn.put(f"meta/{key}".encode(), str(value).encode())
 
-    def _opened(self) -> lmdb.Environment:
+    def _open_environment(self) -> lmdb.Environment:
         try:
-            env = lmdb.open(os.path.join(self.path, "viewings"), map_size=MOST, sync=False)
+            env = lmdb.open(os.path.join(self.path, "viewings"), map_size=MAP_SIZE_BYTES, sync=False)
             with env.begin() as txn:
                 found = txn.get(b"meta/format")
             if found is None or bytes(found) == b"%d" % FORMAT:
                 return env
             env.close()
-            cause = f"format {bytes(found)!r}, known is {FORMAT}"
-        except lmdb.Error as fault:
-            cause = repr(fault)
+            cause = f"format {bytes(found)!r}, expected {FORMAT}"
+        except lmdb.Error as error:
+            cause = repr(error)
         folder = os.path.join(self.path, "viewings")
-        log.error("journal not read, put aside", path=quarantine(folder), cause=cause)
-        return lmdb.open(folder, map_size=MOST, sync=False)
+        log.error("journal not readable, moved aside", path=quarantine(folder), cause=cause)
+        return lmdb.open(folder, map_size=MAP_SIZE_BYTES, sync=False)
 
-    def _meta(self, key: str) -> str | None:
+    def _read_meta(self, key: str) -> str | None:
         with self.env.begin() as txn:
             found = txn.get(f"meta/{key}".encode())
         return None if found is None else bytes(found).decode()
 
-    def _read(self) -> dict[str, JournalEntry]:
+    def _read_entries(self) -> dict[str, JournalEntry]:
         entries = {}
         with self.env.begin() as txn:
             for key, value in txn.cursor():
@@ -104,15 +108,19 @@
                     continue
                 try:
                     entry = self._decode.decode(bytes(value))
-                    entries[str(entry.ask.viewing)] = entry
-                except msgspec.MsgspecError as fault:
-                    log.error("entry of the journal not read", key=bytes(key).decode(), cause=str(fault))
+                    entries[str(entry.request.viewing)] = entry
+                except msgspec.MsgspecError as error:
+                    log.error(
+                        "journal entry not readable, skipped", key=bytes(key).decode(), cause=str(error)
+                    )
         return entries
 
     def put(self, entry: JournalEntry) -> None:
-        self._write(entry.ask.viewing, self._encode.encode(entry))
+        """Write the entry of a viewing, replacing its previous one."""
+        self._write(entry.request.viewing, self._encode.encode(entry))
 
     def drop(self, viewing: int | str) -> None:
+        """Delete the entry of a viewing."""
         self._write(viewing, None)
 
     def _write(self, viewing: int | str, value: bytes | None) -> None:
@@ -126,13 +134,14 @@
             if self.failing:
                 self.failing = False
                 log.info("journal written again", path=self.path)
-        except lmdb.Error as fault:
+        except lmdb.Error as error:
             if not self.failing:
                 self.failing = True
                 log.error(
-                    "journal not written: a restart now loses viewings", path=self.path, cause=repr(fault)
+                    "journal not written: a restart now loses viewings", path=self.path, cause=repr(error)
                 )
 
     def close(self) -> None:
+        """Close the environment and release the lock."""
         self.env.close()
         os.close(self._lock)
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -1,7 +1,7 @@
-"""The signing keys on disk: one JSON file a key, readable by its owner alone, and never in a log.
+"""The signing keys on disk: one JSON file per key, readable only by its owner. Keys never appear in a log.
 
-Several fronts share a folder: a front that finds a key due makes one under a lock of the folder, so that they
-do not make one each.
+Several controllers may share a folder. The one that finds a new key due creates it under a lock on the
+folder, so that they do not create one each.
 """
 
 import fcntl
@@ -19,28 +19,29 @@
 from herongap.dash import Grant, Key, Ring, mint, new_key, published
 from herongap.errors import HerongapError, Unusable
 
+LOCK_TIMEOUT_SECONDS = 5.0
 log = structlog.get_logger()
 
 
 class WrongKey(Unusable):
-    """A file that does not hold the key that its name says."""
+    """A file that does not hold the key that its name states."""
 
     advice = "remove the file, or put the key back that belongs under this name"
 
 
 class UnsafePermissionsError(HerongapError, OSError):
-    """A folder or a key that others may read or write."""
+    """A folder or a key file that other users may read or write."""
 
     advice = "take read and write from all others: chmod go-rwx"
 
 
 class KeyStore:
-    """The ring of a folder; times are seconds since the epoch."""
+    """The keys of one folder; times are seconds since the epoch."""
 
     def __init__(self, folder: str | Path, rotate: float, ahead: float, longest: float):
-        self.folder, self.terms = Path(folder), (rotate, ahead, longest)
+        self.folder, self.schedule = Path(folder), (rotate, ahead, longest)
         self.pairs: dict[str, OKPKey] = {}
-        self.ring = Ring((), *self.terms)
+        self.ring = Ring((), *self.schedule)
 
     def load(self, now: float) -> None:
         """Read the folder, make a key if one is due and delete expired ones.
@@ -49,83 +50,84 @@
         read is logged and skipped.
         """
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
-        _safe(self.folder)
-        with self._locked():
-            self.pairs, made = {}, []
+        _check_permissions(self.folder)
+        with self._folder_lock():
+            self.pairs, loaded = {}, []
             for path in sorted(self.folder.glob("*.key")):
                 if key := self._read(path):
-                    made.append(key)
-            self.ring = Ring(made, *self.terms)
+                    loaded.append(key)
+            self.ring = Ring(loaded, *self.schedule)
             if self.ring.due(now):
-                self._make(now)
+                self._create_key(now)
             for key in self.ring.dead(now):
                 self._path(key.kid).unlink(missing_ok=True)
                 self.pairs.pop(key.kid, None)
-                log.info("key dropped", kid=key.kid)
+                log.info("expired key deleted", kid=key.kid)
 
     def mint(self, now: float, grant: Grant) -> str:
-        """A token by the key that signs now."""
+        """Return a token signed with the current signing key."""
         return mint(self.pairs[self.ring.signing(now).kid], grant)
 
     def jwks(self, now: float) -> dict:
-        """What streamers are to know: the public halves alone."""
+        """Return the JWK set that streamers verify tokens with: the public keys alone."""
         return published([self.pairs[key.kid] for key in self.ring.published(now)])
 
     def _path(self, kid: str) -> Path:
         return self.folder / f"{kid}.key"
 
     def _read(self, path: Path) -> Key | None:
-        _safe(path)
+        _check_permissions(path)
         try:
-            kept = json.loads(path.read_text(encoding="utf-8"))
-            pair = OKPKey.import_key(kept["key"])
+            record = json.loads(path.read_text(encoding="utf-8"))
+            pair = OKPKey.import_key(record["key"])
             if pair.kid != path.stem or not pair.is_private:
-                raise WrongKey("not the private key that its name says")
+                raise WrongKey("not the private key that the file name states")
             self.pairs[pair.kid] = pair
-            return Key(pair.kid, float(kept["made"]))
-        except (ValueError, KeyError, TypeError, JoseError) as fault:
-            # The kind of fault alone: its words may hold parts of the key.
-            log.error("key not read", path=str(path), cause=type(fault).__name__)
+            return Key(pair.kid, float(record["made"]))
+        except (ValueError, KeyError, TypeError, JoseError) as error:
+            # Only the type of the error is logged: its message may contain parts of the key.
+            log.error("key not read", path=str(path), cause=type(error).__name__)
             return None
 
-    def _make(self, now: float) -> None:
-        taken = 0
-        while self._path(kid := f"{int(now)}-{taken}").exists():
-            taken += 1
+    def _create_key(self, now: float) -> None:
+        suffix = 0
+        while self._path(kid := f"{int(now)}-{suffix}").exists():
+            suffix += 1
         pair, path = new_key(kid), self._path(kid)
-        # Written aside with its mode from the first byte on, then renamed: nobody ever reads half a key.
-        aside = path.with_suffix(".new")
-        handle = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        # Written to a temporary file that has its final mode from the start, then renamed, so that no reader
+        # ever sees an incomplete key.
+        temporary = path.with_suffix(".new")
+        handle = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         with os.fdopen(handle, "w", encoding="utf-8") as file:
             json.dump({"made": now, "key": pair.as_dict(private=True)}, file)
             file.flush()
             os.fsync(file.fileno())
-        os.rename(aside, path)
+        os.rename(temporary, path)
         self.pairs[kid] = pair
         self.ring.add(Key(kid, now))
-        log.info("key made", kid=kid)
+        log.info("key created", kid=kid)
 
     @contextmanager
-    def _locked(self):
+    def _folder_lock(self):
         handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            until = time.monotonic() + 5.0
+            deadline = time.monotonic() + LOCK_TIMEOUT_SECONDS
             while True:
                 try:
                     fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
                     break
                 except BlockingIOError:
-                    if time.monotonic() > until:
+                    if time.monotonic() > deadline:
                         raise
-                    gevent.sleep(0.01)  # viewings go on meanwhile
+                    gevent.sleep(0.01)  # other greenlets run meanwhile
             yield
         finally:
             os.close(handle)
 
 
-def _safe(path: Path) -> None:
+def _check_permissions(path: Path) -> None:
     status = path.stat()
     if status.st_mode & 0o077 or status.st_uid != os.getuid():
         raise UnsafePermissionsError(
-            f"{path}: others may read or write it; wanted is its owner alone (mode 0700, files 0600)"
+            f"{path}: other users may read or write it; only its owner may (folder mode 0700, files 0600)"
         )
--- a/herongap/daemon/listen.py
+++ b/herongap/daemon/listen.py
@@ -1,4 +1,4 @@
-"""Addresses and listening sockets, for every shell of the program."""
+"""Addresses and listening sockets, used by every server of the program."""
 
 import socket as plain
 
@@ -8,7 +8,7 @@
 
 
 def listen(address: Address) -> socket.socket:
-    """A listening socket; port 0 picks a free one."""
+    """Open a listening socket; port 0 picks a free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(plain.SOL_SOCKET, plain.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -17,6 +17,6 @@
 
 
 def read_address(text: str) -> Address:
-    """An address as files and logs write it, HOST:PORT."""
+    """Parse an address of the form HOST:PORT, as configuration files and logs have it."""
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -1,13 +1,14 @@
-"""A restart: what the journal has is set beside what streamers hold, and taken up, ended or let go.
+"""Recovery after a restart: the journal is compared with what streamers hold, and each viewing is settled.
 
-`herongap.state.reconcile` says which; this asks the streamers, some at a time, and carries it out.
+`herongap.state.reconcile` decides whether a viewing is adopted, ended or released; this module asks the
+streamers, a limited number at a time, and carries the decision out.
 """
 
 import time
 
 import gevent
 import structlog
-from gevent.pool import Pool as Greenlets
+from gevent.pool import Pool as GreenletPool
 
 from herongap.daemon.journal import Journal, JournalEntry
 from herongap.daemon.session import RemoteSession, Session
@@ -16,95 +17,100 @@
 from herongap.interface import EndReason
 from herongap.state import Fate, Found, Kept, Known, reconcile
 
-AT_ONCE = 20  # streamers' sessions asked about at one time: new viewings come first
-TRIES, PAUSE = 3, 0.4  # how often a streamer that does not answer is asked, and seconds between
-LISTED = 3.0  # seconds for which the list may still be on its way
+MAX_CONCURRENT_CHECKS = 20  # sessions checked at one time: new viewings have precedence
+ATTEMPTS, RETRY_SECONDS = 3, 0.4  # for a streamer that does not answer
+LIST_WAIT_SECONDS = 3.0  # for the streamer list, which may not have arrived yet
 log = structlog.get_logger()
 
 
 class Recovery:
-    """One start. `begin` before the front listens, `run` once it does."""
+    """The recovery of one start. Call `restore_sessions` before the server listens, and `run` afterwards."""
 
-    def __init__(self, journal: Journal, door: SessionService, secrets: dict[str, Session]):
-        self.journal, self.door, self.secrets = journal, door, secrets
-        self.port, self.host = door.port, door.host
-        self.told = dict.fromkeys(("adopted", "ended", "gone"), 0)
+    def __init__(self, journal: Journal, service: SessionService, sessions_by_secret: dict[str, Session]):
+        self.journal, self.service, self.sessions_by_secret = journal, service, sessions_by_secret
+        self.port, self.host = service.port, service.host
+        self.counts = dict.fromkeys(("adopted", "ended", "gone"), 0)
 
-    def begin(self) -> None:
-        """Make what was kept known again: a repeated offer then waits for it and is not set up twice."""
+    def restore_sessions(self) -> None:
+        """Register the journal's sessions, so that a repeated offer waits for one instead of starting
+        another.
+        """
         for entry in self.journal.entries.values():
             session = Session(
-                entry.ask.viewing, entry.secret, entry.protocol, entry.ask.title, "", b"", entry.owner,
-                tuple(entry.key), entry.digest,
+                entry.request.viewing, entry.secret, entry.protocol, entry.request.title, "", b"",
+                entry.owner, tuple(entry.repeat_key), entry.digest,
             )  # fmt: skip
             session.remote = RemoteSession(*entry.remote) if entry.remote else None
-            self.port.sessions[entry.ask.viewing] = session
-            self.door.repeats.add(session.key, session.digest, entry.ask.viewing)
+            self.port.sessions[entry.request.viewing] = session
+            self.service.repeats.add(session.repeat_key, session.digest, entry.request.viewing)
             if entry.protocol != "dash":
-                self.secrets[entry.secret] = session
+                self.sessions_by_secret[entry.secret] = session
 
     def run(self) -> None:
+        """Settle every viewing of the journal, then forget its entries."""
         began, entries = time.monotonic(), list(self.journal.entries.values())
         self._await_list(entries)
-        asked = Greenlets(AT_ONCE)
-        # What plays first, the dearest before others.
-        entries.sort(key=lambda e: (e.known is not Known.PLAYING, -self._value(e)))
-        asked.map(self._settle, entries)
+        checks = GreenletPool(MAX_CONCURRENT_CHECKS)
+        # Playing viewings first, the most valuable ones before the others.
+        entries.sort(key=lambda e: (e.stage is not Known.PLAYING, -self._value(e)))
+        checks.map(self._settle, entries)
         if entries:
-            log.info("recovered", seconds=round(time.monotonic() - began, 3), **self.told)
+            log.info("recovered", seconds=round(time.monotonic() - began, 3), **self.counts)
         self.journal.entries.clear()
 
     def _value(self, entry: JournalEntry) -> float:
-        package = self.door.packages.get(entry.ask.package)
+        package = self.service.packages.get(entry.request.package)
         return package.value if package else 0.0
 
     def _await_list(self, entries: list[JournalEntry]) -> None:
-        until = time.monotonic() + LISTED
-        while time.monotonic() < until and any(e.streamer not in self.host.statuses for e in entries):
+        deadline = time.monotonic() + LIST_WAIT_SECONDS
+        while time.monotonic() < deadline and any(e.streamer not in self.host.statuses for e in entries):
             gevent.sleep(0.02)
 
     def _settle(self, entry: JournalEntry) -> None:
-        viewing, session = entry.ask.viewing, self.port.sessions[entry.ask.viewing]
-        there = self._there(session)
-        kept = Kept(viewing, entry.number, entry.streamer, entry.known, entry.rung, self._value(entry))
-        found = {entry.streamer: [Found(viewing, entry.number, entry.rung)] if there else []}
-        ((fate, _, _),) = reconcile([kept], found if there is not None else {entry.streamer: None})
-        playable = entry.protocol != "dash" and entry.ask.package in self.door.packages
-        if fate is Fate.ADOPT and playable:
+        viewing, session = entry.request.viewing, self.port.sessions[entry.request.viewing]
+        exists = self._exists(session)
+        kept = Kept(viewing, entry.number, entry.streamer, entry.stage, entry.rung, self._value(entry))
+        found = {entry.streamer: [Found(viewing, entry.number, entry.rung)] if exists else []}
+        ((fate, _, _),) = reconcile([kept], found if exists is not None else {entry.streamer: None})
+        adoptable = entry.protocol != "dash" and entry.request.package in self.service.packages
+        if fate is Fate.ADOPT and adoptable:
             self._adopt(entry, session)
             return
         if session.remote and fate in (Fate.ADOPT, Fate.END, Fate.WAIT):
-            # Not answered to the last: told to let go should it live, for nobody here controls it any more.
-            self.port.remotes[viewing, entry.number] = session.remote
+            # The streamer may have given no answer and still play it: it is torn down, because this
+            # controller no longer controls it.
+            self.port.remote_sessions[viewing, entry.number] = session.remote
             self.port.tear_down(viewing, entry.number, entry.streamer, False)
-        self._let_go(session, "gone" if fate is Fate.GONE else "ended")
+        self._release(session, "gone" if fate is Fate.GONE else "ended")
 
-    def _there(self, session: Session) -> bool | None:
+    def _exists(self, session: Session) -> bool | None:
         if session.remote is None:
-            # Its answer never came, so nobody knows its address: its streamer ends it when no viewer comes.
+            # The answer to the tune-in never arrived, so the session's address is unknown. Its streamer ends
+            # it when no viewer connects.
             return False
-        for turn in range(TRIES):
-            if turn:
-                gevent.sleep(PAUSE)
-            if (there := self.port.there(session.remote)) is not None:
-                return there
+        for attempt in range(ATTEMPTS):
+            if attempt:
+                gevent.sleep(RETRY_SECONDS)
+            if (exists := self.port.session_exists(session.remote)) is not None:
+                return exists
         return None
 
     def _adopt(self, entry: JournalEntry, session: Session) -> None:
-        viewing, remote = entry.ask.viewing, session.remote
-        self.port.remotes[viewing, entry.number] = remote
-        ask = entry.ask._replace(holders=frozenset(entry.ask.holders))
-        if not self.host.adopted(self.door.clock(), ask, entry.number, entry.streamer, entry.rung):
-            self._let_go(session, "ended")
+        viewing, remote = entry.request.viewing, session.remote
+        self.port.remote_sessions[viewing, entry.number] = remote
+        request = entry.request._replace(holders=frozenset(entry.request.holders))
+        if not self.host.adopted(self.service.clock(), request, entry.number, entry.streamer, entry.rung):
+            self._release(session, "ended")
             return
         if self.port.budgets:
             self.port.budgets.adopted((viewing, entry.number), self.host.viewings[viewing].charged_budgets)
-        self.told["adopted"] += 1
+        self.counts["adopted"] += 1
         session.answer = Answer("plays")
-        session.done.set()
+        session.answered.set()
         self.port.follow_events(remote)
 
-    def _let_go(self, session: Session, how: str) -> None:
-        self.told[how] += 1
+    def _release(self, session: Session, outcome: str) -> None:
+        self.counts[outcome] += 1
         session.answer = Answer("aborted", cause=EndReason.BROKEN)
         self.port.forget(session)
--- a/herongap/daemon/request_handler.py
+++ b/herongap/daemon/request_handler.py
@@ -1,4 +1,4 @@
-"""The front's HTTP side: what is asked goes to WHIP and WHEP, here, or to DASH."""
+"""The HTTP request handler: serves WHIP and WHEP itself and passes DASH requests to the DASH service."""
 
 import hashlib
 import math
@@ -15,20 +15,21 @@
 from herongap.sdp import Offer
 from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created, ice_links
 
+CLOSE_TIMEOUT_SECONDS = 3.0
 log = structlog.get_logger()
 
 
 class RequestHandler:
-    """Answers requests. What DASH is served by is None where it is not."""
+    """Answers HTTP requests. `dash` is None where DASH is not served."""
 
-    def __init__(self, door: SessionService, dash: DashService | None = None):
-        self.door, self.dash = door, dash
-        self.site, self.host, self.port, self.clock = door.site, door.host, door.port, door.clock
-        self.secrets: dict[str, Session] = {}
-        door.over.append(lambda session: self.secrets.pop(session.secret, None))
+    def __init__(self, service: SessionService, dash: DashService | None = None):
+        self.service, self.dash = service, dash
+        self.site, self.host, self.port, self.clock = service.site, service.host, service.port, service.clock
+        self.sessions_by_secret: dict[str, Session] = {}
+        service.on_session_closed.append(lambda session: self.sessions_by_secret.pop(session.secret, None))
 
     def handle(self, request: Request, peer: Peer) -> Reply:
-        """One request; blocks until its reply is known."""
+        """Answer one request; blocks until its reply is known."""
         path = request.path
         if self.dash and (reply := self.dash.handle(path, request, peer)):
             return reply
@@ -43,36 +44,36 @@
                 return Reply(200, OPTIONS_HEADERS)
             if request.method not in ("PATCH", "DELETE"):
                 return problem("bad-method", headers=[("Allow", "OPTIONS, PATCH, DELETE")])
-            session = self.secrets.get(path[1])
+            session = self.sessions_by_secret.get(path[1])
             if session is None:
                 return problem("no-such-session")
-            if isinstance(owner := self.door.caller(request), Reply):
+            if isinstance(owner := self.service.authenticate(request), Reply):
                 return owner
             if owner != session.owner:
-                return problem("not-allowed", "this session was made with another token")
+                return problem("not-allowed", "this session was created with another token")
             return self._patch(session, request) if request.method == "PATCH" else self._delete(session)
         return problem("no-such-page")
 
     def _post(self, protocol: str, title: str, request: Request, peer: Peer) -> Reply:
-        if isinstance(known := self.door.knock(protocol, title, request), Reply):
-            return known
-        owner, package, holders = known
+        if isinstance(authorized := self.service.authorize(protocol, title, request), Reply):
+            return authorized
+        owner, package, holders = authorized
         offer = check_offer(request, protocol)
         if isinstance(offer, Reply):
             return offer
-        key, digest = self._identity(request, offer, owner)
+        repeat_key, digest = self._identity(request, offer, owner)
         patience = min(self.site.patience[package], wait_preferred(request) or math.inf)
         top = request.query.get("top", "")
-        session = self.door.enter(
+        session = self.service.open_session(
             SessionRequest(
                 protocol,
                 title,
                 package,
                 owner,
                 holders,
-                key,
+                repeat_key,
                 digest,
-                key[2],
+                repeat_key[2],
                 SDP,
                 request.body,
                 patience,
@@ -82,14 +83,14 @@
         )
         if isinstance(session, Reply):
             return session
-        self.secrets[session.secret] = session
+        self.sessions_by_secret[session.secret] = session
         links = ice_links(self.site.front.ice_servers)
         return created(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
 
     def _identity(self, request: Request, offer: Offer, owner: str | None) -> tuple[tuple, str]:
-        """What makes two requests one viewing, and what must then be equal in both."""
-        if given := request.headers.get("idempotency-key"):
-            return ("key", owner, given), hashlib.sha256(request.body).hexdigest()
+        """Return the key that identifies a repeated request, and the digest that must then be equal."""
+        if idempotency_key := request.headers.get("idempotency-key"):
+            return ("key", owner, idempotency_key), hashlib.sha256(request.body).hexdigest()
         return ("offer", owner, *offer.identity), ""
 
     def _patch(self, session: Session, request: Request) -> Reply:
@@ -102,21 +103,21 @@
         ]
         try:
             reply = self.port.forward(session.remote, "PATCH", headers, request.body)
-        except (OSError, h11.ProtocolError, KeyError) as fault:
+        except (OSError, h11.ProtocolError, KeyError) as error:
             log.warning(
-                "patch not carried",
+                "PATCH not forwarded",
                 viewing=session.viewing,
                 streamer=session.remote.streamer,
-                cause=repr(fault),
+                cause=repr(error),
             )
             return problem("streamer-lost")
-        kept = tuple((k, v) for k, v in reply.headers if k.lower() in ("content-type", "etag"))
-        return Reply(reply.status, (*kept, *OPTIONS_HEADERS[1::3]), reply.body)
+        forwarded = tuple((k, v) for k, v in reply.headers if k.lower() in ("content-type", "etag"))
+        return Reply(reply.status, (*forwarded, *OPTIONS_HEADERS[1::3]), reply.body)
 
     def _delete(self, session: Session) -> Reply:
-        life = self.host.viewings.get(session.viewing)
-        if life is None or life.state is not ViewingState.PLAYING:
+        hosted = self.host.viewings.get(session.viewing)
+        if hosted is None or hosted.state is not ViewingState.PLAYING:
             return problem("no-such-session")
         self.host.left(self.clock(), session.viewing)
-        session.closed.wait(3.0)
+        session.closed.wait(CLOSE_TIMEOUT_SECONDS)
         return Reply(200, OPTIONS_HEADERS[1:2])
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -1,4 +1,4 @@
-"""One front put together: host, port, HTTP, files, timer, and an orderly end."""
+"""The daemon: one controller with its host, port, HTTP servers, files and timer, and an orderly shutdown."""
 
 import json
 import os
@@ -29,21 +29,31 @@
 from herongap.observe.metrics import TEXT, Figures
 from herongap.rules import Controller
 
-LOOK = 0.05  # seconds between two looks at how late the process is
+LAG_CHECK_SECONDS = 0.05
+CATALOGUE_CHECK_SECONDS = 1.0
+RECORD_FLUSH_SECONDS = 0.5
 log = structlog.get_logger()
 
 
 class Daemon:
-    """A front that listens from `start` to `stop`. `make` is the deciding module, for baselines and tests."""
+    """A controller that listens from `start` to `stop`.
 
-    def __init__(self, site: Site, make: Callable = Controller, clock: Callable[[], float] = time.monotonic):
+    `make_controller` builds the deciding module; baselines and tests pass others.
+    """
+
+    def __init__(
+        self,
+        site: Site,
+        make_controller: Callable = Controller,
+        clock: Callable[[], float] = time.monotonic,
+    ):
         self.site, self.clock = site, clock
-        # A restarted front is another one to streamers: what the old one held there must not pass for its
-        # own.
+        # A restarted controller has another name at streamers, so that sessions of the previous process are
+        # not taken for its own.
         self.name = f"herongap-{site.front.number}-{time.time_ns() // 1_000_000}"
         self.journal = Journal(site.front.journal, self.name) if site.front.journal else None
         if self.journal:
-            # What it left at streamers is still its own.
+            # With a journal, sessions of the previous process are still its own.
             self.name = self.journal.name
         self.intake = Intake(site.bounds)
         targets = {name: getattr(site.streamers, name) for name in ("whep", "whip", "dash")}
@@ -51,30 +61,35 @@
         self.port.journal = self.journal
         self.record = self._open_record()
         recorder = Recorder(self.record.write) if self.record else None
-        self.host = Host(clock(), site.front.seed, site.charter, self.port, recorder, make)
+        self.host = Host(clock(), site.front.seed, site.charter, self.port, recorder, make_controller)
         self.port.host = self.host
         self.catalogue = None
-        self.list = self.registry = None
+        self.list_watcher = self.registry = None
         if site.etcd is None:
-            self.list = FileWatcher(site.streamers.list, self._listed, site.streamers.look)
+            self.list_watcher = FileWatcher(site.streamers.list, self._on_list_file, site.streamers.look)
         else:
             f = site.front
-            budgets = tuple(budget_terms(name, whole) for name, whole in site.wholes.items())
-            told = self._fed, self._counted, budgets, self._given
+            budgets = tuple(budget_terms(name, section) for name, section in site.wholes.items())
+            callbacks = self._on_list_change, self._on_registry_rank, budgets, self._on_room_change
             self.registry = StreamerRegistry(
-                site.etcd, f.number, f.controllers, f.seed, self.name, clock, *told
+                site.etcd, f.number, f.controllers, f.seed, self.name, clock, *callbacks
+            )
+            self.port.budgets, self.port.is_rank_valid = (
+                self.registry.budgets or None,
+                self.registry.is_rank_valid,
             )
-            self.port.budgets, self.port.ranked = self.registry.budgets or None, self.registry.ranked
         self.gossip = None
         if site.gossip:
-            from herongap.daemon.gossip import GossipMember  # not loaded where it is off
-
-            f, life = site.front, time.time_ns() // 1_000_000
-            self.gossip = GossipMember(site.gossip, f.number, life, f.zone, f.seed, clock, self._members)
-        self.place: tuple[int | None, int] = (None, site.front.controllers)
-        self.counted: tuple[int | None, int] | None = None
-        self.titles = FileWatcher(site.catalogue.file, self._catalogued, 1.0)
-        self.door: SessionService | None = None
+            from herongap.daemon.gossip import GossipMember  # only loaded where gossip is configured
+
+            f, incarnation = site.front, time.time_ns() // 1_000_000
+            self.gossip = GossipMember(
+                site.gossip, f.number, incarnation, f.zone, f.seed, clock, self._report_rank
+            )
+        self.registry_rank: tuple[int | None, int] = (None, site.front.controllers)
+        self.reported_rank: tuple[int | None, int] | None = None
+        self.catalogue_watcher = FileWatcher(site.catalogue.file, self._on_catalogue, CATALOGUE_CHECK_SECONDS)
+        self.service: SessionService | None = None
         self.handler: RequestHandler | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
@@ -84,31 +99,34 @@
 
     @property
     def address(self) -> Address:
+        """The address at which clients are served."""
         return self.server.address
 
     def start(self) -> None:
         """Read the files, then listen; raises OSError or ValueError where one cannot be used."""
-        self.titles.read()
-        if self.list:
-            self.list.read()
+        self.catalogue_watcher.read()
+        if self.list_watcher:
+            self.list_watcher.read()
         site = self.site
-        self.door = SessionService(site, self.host, self.port, self.intake, self.catalogue, self.clock)
-        dash = DashService(site.dash, self.door) if site.dash else None
+        self.service = SessionService(site, self.host, self.port, self.intake, self.catalogue, self.clock)
+        dash = DashService(site.dash, self.service) if site.dash else None
         if dash:
             dash.load()
-        self.handler = RequestHandler(self.door, dash)
-        recovery = Recovery(self.journal, self.door, self.handler.secrets) if self.journal else None
+        self.handler = RequestHandler(self.service, dash)
+        recovery = (
+            Recovery(self.journal, self.service, self.handler.sessions_by_secret) if self.journal else None
+        )
         if recovery:
-            recovery.begin()
+            recovery.restore_sessions()
         self.server = Server(
             listen(read_address(site.front.listen)), self.handler.handle, site.bounds, self.intake
         )
         if site.front.metrics:
-            self.metrics = Server(listen(read_address(site.front.metrics)), self._scraped, site.bounds)
-        runs = (self.port.run, self.titles.run, self._beat, self._feel)
+            self.metrics = Server(listen(read_address(site.front.metrics)), self._handle_metrics, site.bounds)
+        runs = (self.port.run, self.catalogue_watcher.run, self._flush_record, self._measure_lag)
         self._greenlets = [gevent.spawn(run) for run in runs]
-        # With etcd a front listens before it has a list: it starts on what it remembers, or blocks.
-        self._greenlets += self.registry.start() if self.registry else [gevent.spawn(self.list.run)]
+        # With etcd, the controller listens before it has a list: it uses the cached one, or blocks viewings.
+        self._greenlets += self.registry.start() if self.registry else [gevent.spawn(self.list_watcher.run)]
         if self.gossip:
             self._greenlets += gevent.spawn(self.gossip.listen), gevent.spawn(self.gossip.run)
         if recovery:
@@ -116,28 +134,27 @@
         log.info("listening", address="{}:{}".format(*self.address), name=self.name)
 
     def stop(self) -> None:
-        """Take no new viewing, answer every one that was taken, end those that play, close; in bounded
-        time.
-        """
+        """Shut down in bounded time: reject new viewings, answer pending ones, end playing ones, close."""
         self.intake.stopping = True
         if self.gossip:
             self.gossip.leave()
-        until = self.clock() + self.site.front.stop_within
+        deadline = self.clock() + self.site.front.stop_within
         log.info("stopping", held=len(self.host.viewings))
         budgets = self.port.budgets
         if budgets:
             budgets.leave()
-        while self.clock() < until and any(
-            life.state in (ViewingState.WAITING, ViewingState.PENDING) for life in self.host.viewings.values()
+        while self.clock() < deadline and any(
+            hosted.state in (ViewingState.WAITING, ViewingState.PENDING)
+            for hosted in self.host.viewings.values()
         ):
             gevent.sleep(0.02)
         for viewing in list(self.host.viewings):
             self.host.left(self.clock(), viewing)
-        while self.clock() < until and self.host.viewings:
+        while self.clock() < deadline and self.host.viewings:
             gevent.sleep(0.02)
-        while self.clock() < until and budgets and not budgets.released:
-            gevent.sleep(0.02)  # what it does not use is of use to others now, not after its lease
-        gevent.sleep(0.05)  # replies that are on their way out
+        while self.clock() < deadline and budgets and not budgets.released:
+            gevent.sleep(0.02)  # so that others can use the unused shares now, not after the lease expires
+        gevent.sleep(0.05)  # lets replies in progress be sent
         self.kill()
         log.info("stopped", left=len(self.host.viewings), **self.host.counts)
 
@@ -167,70 +184,82 @@
         path = self.site.front.record.replace("{name}", self.name)
         return open(path, "ab", buffering=1 << 16)  # noqa: SIM115
 
-    def _listed(self, data: bytes) -> None:
-        lines, addresses = read_list(data, epoch_on_clock(self.clock))
+    # Changes of the list, the rank, the budgets and the catalogue.
+
+    def _on_list_file(self, data: bytes) -> None:
+        entries, addresses = read_list(data, epoch_on_clock(self.clock))
         self.port.addresses |= addresses
-        self.host.listed(self.clock(), "whole", lines)
-        log.info("list taken", streamers=len(lines))
+        self.host.listed(self.clock(), "whole", entries)
+        log.info("list read from file", streamers=len(entries))
 
-    def _fed(self, kind: str, lines: tuple[StreamerEntry, ...], addresses: dict[str, Address]) -> None:
+    def _on_list_change(
+        self, kind: str, entries: tuple[StreamerEntry, ...], addresses: dict[str, Address]
+    ) -> None:
         self.port.addresses |= addresses
-        self.host.listed(self.clock(), kind, lines)
+        self.host.listed(self.clock(), kind, entries)
 
-    def _counted(self, rank: int | None, count: int) -> None:
-        self.place = rank, count
-        self._members()
+    def _on_registry_rank(self, rank: int | None, count: int) -> None:
+        self.registry_rank = rank, count
+        self._report_rank()
 
-    def _members(self) -> None:
-        rank, count = self.place
+    def _report_rank(self) -> None:
+        rank, count = self.registry_rank
         if self.gossip:
             count = self.gossip.gossip.count(count, rank is not None)
-        if self.registry and (rank, count) != self.counted:
-            self.counted = rank, count
+        if self.registry and (rank, count) != self.reported_rank:
+            self.reported_rank = rank, count
             self.host.counted(self.clock(), rank, count)
 
-    def _given(self, whole: str, room: int) -> None:
-        self.host.given(self.clock(), whole, room)
+    def _on_room_change(self, budget: str, room: int) -> None:
+        self.host.given(self.clock(), budget, room)
 
-    def _catalogued(self, data: bytes) -> None:
+    def _on_catalogue(self, data: bytes) -> None:
         self.catalogue = read_catalogue(data)
-        if self.door:
-            self.door.catalogue = self.catalogue
+        if self.service:
+            self.service.catalogue = self.catalogue
+
+    # The server for operators.
 
-    def listing(self) -> dict:
-        """The whole list as this controller sees it: each streamer's standing, and where the list is from."""
-        told = {
+    def list_status(self) -> dict:
+        """Return the whole list as this controller sees it, with each streamer's status and the list's
+        source.
+        """
+        streamers = {
             str(name): {
-                "standing": standing.name.lower(),
+                "standing": status.name.lower(),
                 "address": "{}:{}".format(*self.port.addresses[name]) if name in self.port.addresses else "",
             }
-            for name, standing in sorted(self.host.statuses.items())
+            for name, status in sorted(self.host.statuses.items())
         }
-        listing = {
-            "streamers": told,
+        result = {
+            "streamers": streamers,
             "source": self.registry.status() if self.registry else {"state": "file"},
         }
-        return listing | ({"members": self.gossip.status()} if self.gossip else {})
+        return result | ({"members": self.gossip.status()} if self.gossip else {})
 
-    def _scraped(self, request: Request, peer: Peer) -> Reply:
+    def _handle_metrics(self, request: Request, peer: Peer) -> Reply:
         if request.method not in ("GET", "HEAD"):
             return problem("bad-method")
         if request.path == ["list"]:
-            return Reply(200, (("Content-Type", "application/json"),), json.dumps(self.listing()).encode())
+            return Reply(
+                200, (("Content-Type", "application/json"),), json.dumps(self.list_status()).encode()
+            )
         if request.path != ["metrics"]:
             return problem("no-such-page")
         return Reply(200, (("Content-Type", TEXT),), self._figures.text())
 
-    def _feel(self) -> None:
-        """How late this process comes to what it has set itself a time for."""
+    # Background work.
+
+    def _measure_lag(self) -> None:
+        """Measure how late this process runs what it has scheduled; never returns."""
         while True:
-            due = self.clock() + LOOK
-            gevent.sleep(LOOK)
+            due = self.clock() + LAG_CHECK_SECONDS
+            gevent.sleep(LAG_CHECK_SECONDS)
             self.intake.lagged(self.clock() - due)
 
-    def _beat(self) -> None:
+    def _flush_record(self) -> None:
         while True:
-            gevent.sleep(0.5)
+            gevent.sleep(RECORD_FLUSH_SECONDS)
             if self.record:
                 self.record.flush()
 
@@ -250,6 +279,6 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stop)
-    # Said only now: whoever reads it may send a signal at once.
+    # Printed after the handlers are installed: whoever reads it may send a signal at once.
     print("listening http://{}:{}".format(*daemon.address), flush=True)
     daemon.stopped.wait()
--- a/herongap/daemon/session.py
+++ b/herongap/daemon/session.py
@@ -1,6 +1,6 @@
-"""The protocol's part of a viewing: its offer, its secret address, and where it is at its streamer.
+"""The protocol side of a viewing: its offer, its secret address, and its session resource at the streamer.
 
-What the viewing's state is, only the host knows; nothing here copies it.
+The state of the viewing itself is kept by the host alone and is not copied here.
 """
 
 from dataclasses import dataclass, field
@@ -17,7 +17,10 @@
 
 
 class RemoteSession(NamedTuple):
-    """A session resource at a streamer. URLs are paths there; "" where the extension is not offered."""
+    """A session resource at a streamer.
+
+    URLs are paths on that streamer; an empty path means that the streamer does not offer the extension.
+    """
 
     streamer: Id
     path: str
@@ -28,7 +31,7 @@
 
 
 def read_remote_session(streamer: Id, target: str, reply: Reply) -> RemoteSession | None:
-    """What a 201 of a streamer to a POST at `target` says; None without a Location on the same server."""
+    """Read a streamer's 201 reply to a POST at `target`; None without a Location on the same server."""
     location = _path(target, reply.header("location") or "")
     if not location:
         return None
@@ -43,7 +46,7 @@
 
 
 def _path(target: str, url: str) -> str:
-    # A streamer's word must not send us to other hosts: only the path of what it names is used.
+    # A streamer must not be able to direct requests to other hosts, so only the path of its URL is used.
     parts = urlsplit(urljoin("http://streamer" + target, url))
     if not url or parts.scheme != "http" or parts.netloc != "streamer":
         return ""
@@ -52,7 +55,13 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One viewing as its client sees it."""
+    """One viewing as its client sees it.
+
+    `repeat_key` and `digest` identify a repeated request (see `SessionRequest`). `answered` is set once
+    `answer` is known, `closed` when the session is over. `waiters` counts the requests waiting for the
+    answer. `pending_rung` is a rung still to be sent to the streamer, and `setting_rung` is true while one is
+    sent.
+    """
 
     viewing: Id
     secret: str
@@ -61,12 +70,12 @@
     media_type: str
     offer: bytes
     owner: str | None
-    key: tuple = ()
+    repeat_key: tuple = ()
     digest: str = ""
-    done: Event = field(default_factory=Event)
+    answered: Event = field(default_factory=Event)
     answer: Answer | None = None
     remote: RemoteSession | None = None
-    waiting: int = 0
-    rung: int | None = None
-    setting: bool = False
+    waiters: int = 0
+    pending_rung: int | None = None
+    setting_rung: bool = False
     closed: Event = field(default_factory=Event)
--- a/herongap/daemon/session_service.py
+++ b/herongap/daemon/session_service.py
@@ -1,7 +1,7 @@
-"""What all fronts of one controller share: who asks, whether it is a viewing known already, its one answer.
+"""What all protocol handlers of one controller share: authentication, repeated requests, and new sessions.
 
-A protocol handler reads its request into a `SessionRequest`; the service takes it to the host once, however
-often it comes, and gives the session that plays or the reply that refuses.
+A protocol handler reads its request into a `SessionRequest`. The service passes it to the host once, however
+often it is repeated, and returns the session that plays or the reply that rejects the request.
 """
 
 import hmac
@@ -24,12 +24,16 @@
 from herongap.intake import Intake
 from herongap.interface import EndReason, ViewingRequest
 
+MAX_REMEMBERED_REQUESTS = 100_000
+ANSWER_TIMEOUT_SECONDS = 660.0  # only guards against an error in the host, which answers within the patience
 log = structlog.get_logger()
 
 
 class SessionRequest(NamedTuple):
-    """What a front asks the door for. `key` is what makes two wishes one viewing, `digest` what must then be
-    equal in both; `offer` of `media_type` is what the streamer is sent. Patience in seconds.
+    """A protocol handler's request for a session.
+
+    Requests with the same `repeat_key` are one viewing, and must then also have the same `digest`. `offer`,
+    of type `media_type`, is sent to the streamer. `patience` is in seconds.
     """
 
     protocol: str
@@ -37,7 +41,7 @@
     package: str
     owner: str | None
     holders: Collection[str]
-    key: tuple
+    repeat_key: tuple
     digest: str
     viewer: str
     media_type: str
@@ -47,42 +51,43 @@
 
 
 class SessionService:
-    """The shared part of all fronts. `host` and `port` are one controller's; `intake` bounds what the process
-    takes on.
+    """Authenticates requests and creates sessions for all protocol handlers.
+
+    `host` and `port` belong to one controller; `intake` limits what the process accepts.
     """
 
     def __init__(self, site: Site, host: Host, port: StreamerPort, intake: Intake, catalogue: Catalogue,
                  clock=time.monotonic):  # fmt: skip
         self.site, self.host, self.port, self.intake = site, host, port, intake
         self.catalogue, self.clock = catalogue, clock
-        self.repeats = RepeatDetector(site.front.remember, 100_000)
+        self.repeats = RepeatDetector(site.front.remember, MAX_REMEMBERED_REQUESTS)
         self.packages = {p.name: p for p in site.charter.packages}
         self.setting_up = 0
-        self.over: list[Callable[[Session], None]] = []
+        self.on_session_closed: list[Callable[[Session], None]] = []
         self._ids = count(1)
-        port.on_over = self._over
+        port.on_session_closed = self._session_closed
 
-    # Who asks, and for what.
+    # Authentication and authorization.
 
-    def caller(self, request: Request) -> str | None | Reply:
-        """The name of the caller's token, None where tokens are not used, or the refusal."""
+    def authenticate(self, request: Request) -> str | None | Reply:
+        """Return the name of the caller's token, None if tokens are not used, or a rejecting reply."""
         if not self.site.tokens:
             return None
         challenge = [("WWW-Authenticate", 'Bearer realm="herongap"')]
-        given = bearer(request)
-        if given is None:
+        credentials = bearer(request)
+        if credentials is None:
             return problem("no-credentials", headers=challenge)
         found = None
         for name, token in self.site.tokens.items():
-            # All are compared, each in constant time: how long it takes must not tell how much was right.
-            if hmac.compare_digest(token.secret.encode(), given.encode("utf-8", "replace")):
+            # All tokens are compared, each in constant time, so that timing does not reveal a partial match.
+            if hmac.compare_digest(token.secret.encode(), credentials.encode("utf-8", "replace")):
                 found = name
         if found is None:
             challenge = [("WWW-Authenticate", 'Bearer realm="herongap", error="invalid_token"')]
             return problem("bad-credentials", headers=challenge)
         return found
 
-    def _package(self, protocol: str, request: Request, owner: str | None) -> str | Reply:
+    def _choose_package(self, protocol: str, request: Request, owner: str | None) -> str | Reply:
         name = request.query.get("package") or self.site.defaults.get(protocol)
         if name not in self.packages or protocol not in self.site.protocols[name]:
             return problem("not-allowed", f"no package {name!r} for {protocol}")
@@ -90,86 +95,89 @@
             return problem("not-allowed", f"this token does not cover package {name!r}")
         return name
 
-    def knock(self, protocol: str, title: str, request: Request) -> tuple | Reply:
-        """The owner, the package and the holders of a request for a title, or the reply that refuses it."""
+    def authorize(self, protocol: str, title: str, request: Request) -> tuple | Reply:
+        """Return the owner, package and holders for a request for a title, or the reply that rejects it."""
         if self.intake.swamped():
             return problem("overloaded", headers=[("Retry-After", "1")])
-        if isinstance(owner := self.caller(request), Reply):
+        if isinstance(owner := self.authenticate(request), Reply):
             return owner
-        if isinstance(package := self._package(protocol, request, owner), Reply):
+        if isinstance(package := self._choose_package(protocol, request, owner), Reply):
             return package
         if (holders := self.catalogue.holders(title)) is None:
             return problem("no-such-title", f"no title {title!r}")
         return owner, package, holders
 
-    # Viewings.
+    # Sessions.
 
-    def enter(self, wish: SessionRequest, peer: Peer) -> Session | Reply:
-        """The session of a wish, which plays, or the reply that says why there is none; blocks until then."""
+    def open_session(self, request: SessionRequest, peer: Peer) -> Session | Reply:
+        """Return the session once it plays, or the reply that rejects the request; blocks until then."""
         now = self.clock()
-        again, viewing = self.repeats.match(now, wish.key, wish.digest)
-        if again is RepeatMatch.JOIN:
+        repeat, viewing = self.repeats.match(now, request.repeat_key, request.digest)
+        if repeat is RepeatMatch.JOIN:
             log.info("repeated", viewing=viewing)
-            return self._await(self.port.sessions[viewing], peer)
-        if again is RepeatMatch.ENDED:
+            return self._wait_for_answer(self.port.sessions[viewing], peer)
+        if repeat is RepeatMatch.ENDED:
             return problem("session-over")
-        if again is RepeatMatch.CONFLICT:
+        if repeat is RepeatMatch.CONFLICT:
             return problem("key-reused")
         if refusal := self.intake.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
-            kind, come_back = refusal
-            return problem(kind, headers=[("Retry-After", str(math.ceil(come_back)))] if come_back else ())
-        return self._await(self._take(wish, peer), peer)
-
-    def _take(self, wish: SessionRequest, peer: Peer) -> Session:
-        p = self.packages[wish.package]
-        # With a journal each process has ids of its own: those of the one before may still play.
-        process = f".{self.port.journal.incarnation}" if self.port.journal else ""
-        viewing = f"v{self.site.front.number}{process}-{next(self._ids)}"
+            kind, retry_after = refusal
+            return problem(
+                kind, headers=[("Retry-After", str(math.ceil(retry_after)))] if retry_after else ()
+            )
+        return self._wait_for_answer(self._create(request, peer), peer)
+
+    def _create(self, request: SessionRequest, peer: Peer) -> Session:
+        package = self.packages[request.package]
+        # With a journal, ids contain the incarnation: those of the previous process may still be playing.
+        incarnation = f".{self.port.journal.incarnation}" if self.port.journal else ""
+        viewing = f"v{self.site.front.number}{incarnation}-{next(self._ids)}"
         session = Session(
             viewing,
             secrets.token_urlsafe(18),
-            wish.protocol,
-            wish.title,
-            wish.media_type,
-            wish.offer,
-            wish.owner,
-            wish.key,
-            wish.digest,
+            request.protocol,
+            request.title,
+            request.media_type,
+            request.offer,
+            request.owner,
+            request.repeat_key,
+            request.digest,
         )
         self.port.sessions[viewing] = session
-        self.repeats.add(wish.key, wish.digest, viewing)
-        ask = ViewingRequest(
+        self.repeats.add(request.repeat_key, request.digest, viewing)
+        viewing_request = ViewingRequest(
             viewing=viewing,
-            viewer=wish.viewer,
-            package=wish.package,
-            member=(self.site.tokens[wish.owner].member or None) if wish.owner else None,
-            title=wish.title,
-            holders=frozenset(wish.holders),
-            top=min(p.top, int(wish.top)) if wish.top.isdigit() else p.top,
-            time_left=max(0.0, wish.patience - self.site.front.answer_ahead),
+            viewer=request.viewer,
+            package=request.package,
+            member=(self.site.tokens[request.owner].member or None) if request.owner else None,
+            title=request.title,
+            holders=frozenset(request.holders),
+            top=min(package.top, int(request.top)) if request.top.isdigit() else package.top,
+            time_left=max(0.0, request.patience - self.site.front.answer_ahead),
             length=None,
             moved=False,
             is_retry=False,
         )
-        log.debug("asked", viewing=viewing, package=wish.package, title=wish.title, peer=peer.name)
+        log.debug(
+            "viewing requested", viewing=viewing, package=request.package, title=request.title, peer=peer.name
+        )
         self.setting_up += 1
-        session.done.rawlink(lambda _: self._set_up())
-        self.host.asked(self.clock(), ask)
+        session.answered.rawlink(lambda _: self._setup_finished())
+        self.host.asked(self.clock(), viewing_request)
         return session
 
-    def _set_up(self) -> None:
+    def _setup_finished(self) -> None:
         self.setting_up -= 1
 
-    def _await(self, session: Session, peer: Peer) -> Session | Reply:
-        session.waiting += 1
+    def _wait_for_answer(self, session: Session, peer: Peer) -> Session | Reply:
+        session.waiters += 1
         try:
-            # The host answers by the patience of the viewing; this is only against a fault there.
-            if not session.done.is_set() and not peer.wait(session.done, 660.0):
+            if not session.answered.is_set() and not peer.wait(session.answered, ANSWER_TIMEOUT_SECONDS):
                 raise PeerDisconnectedError
         finally:
-            session.waiting -= 1
-            if not session.waiting and peer.gone:
-                # Its viewer may be on its way back with the same offer, which then must not be set up twice.
+            session.waiters -= 1
+            if not session.waiters and peer.gone:
+                # The viewer may return with the same offer, which must not be set up a second time.
                 gevent.spawn_later(self.site.front.linger, self._abandon, session)
         answer = session.answer
         if answer.verdict == "plays":
@@ -184,10 +192,10 @@
         return problem("aborted", cause=answer.cause.name.lower() if answer.cause else "none")
 
     def _abandon(self, session: Session) -> None:
-        if not session.waiting:
+        if not session.waiters:
             self.host.left(self.clock(), session.viewing)
 
-    def _over(self, session: Session, played: bool) -> None:
+    def _session_closed(self, session: Session, played: bool) -> None:
         self.repeats.remove(self.clock(), session.viewing, played)
-        for told in self.over:
-            told(session)
+        for callback in self.on_session_closed:
+            callback(session)
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -1,5 +1,6 @@
-"""The port to streamers: WHIP and WHEP calls in greenlets. It carries; when and whether is the host's to
-say.
+"""The host's port to streamers: WHIP and WHEP requests in greenlets.
+
+It carries out the host's decisions and reports the results; what is sent, and when, is decided by the host.
 """
 
 import time
@@ -25,61 +26,71 @@
 from herongap.whep import write_layer
 
 Id = int | str
-REAP = 10.0  # seconds for which the late answer to a tune-in is still waited for, to tear it down
-CLOSE = 0.8  # seconds for one try of a teardown; two fit into what the host allows
+LATE_ANSWER_SECONDS = 10.0  # how long a late answer to a tune-in is awaited, so that it can be torn down
+# Timeouts of single requests.
+TEARDOWN_SECONDS = 0.8  # two attempts fit into the time that the host allows
+SET_RUNG_SECONDS = 2.0
+PROBE_SECONDS = 0.5
+EXISTS_SECONDS = 0.5
+FORWARD_SECONDS = 3.0
 log = structlog.get_logger()
 
 
 class StreamerPort:
-    """Carries the host's decisions to streamers, and what comes of them back."""
+    """Carries the host's decisions to streamers, and their results back to the host.
+
+    `targets` holds the path template of each protocol. A tune-in is identified by (viewing, number).
+    """
 
     def __init__(self, name: str, connect: float, targets: dict[str, str], clock=time.monotonic):
         self.name, self.connect, self.targets, self.clock = name, connect, targets, clock
         self.host: Host | None = None
         self.addresses: dict[Id, Address] = {}
         self.sessions: dict[Id, Session] = {}
-        self.calls: dict[tuple[Id, int], ClientConnection | None] = {}
-        self.remotes: dict[tuple[Id, int], RemoteSession] = {}
+        self.tune_in_connections: dict[tuple[Id, int], ClientConnection | None] = {}
+        self.remote_sessions: dict[tuple[Id, int], RemoteSession] = {}
         self.pools: dict[Address, ConnectionPool] = {}
         self.subscriptions: dict[tuple[Id, str], EventSubscription] = {}
-        self.on_over = lambda session, answer: None
+        self.on_session_closed = lambda session, answer: None
         self.journal: Journal | None = None
         self.budgets: Budgets | None = None
-        self.ranked: Callable[[], bool] = lambda: True  # whether our place among the controllers still holds
-        self.alarm = Timer(clock)
+        self.is_rank_valid: Callable[[], bool] = lambda: True  # whether the rank reported last still holds
+        self.timer = Timer(clock)
 
-    # The port.
+    # The methods of `herongap.host.Port`.
 
-    def tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
+    def tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
         log.debug(
             "tune-in",
-            viewing=ask.viewing,
+            viewing=request.viewing,
             streamer=streamer,
             number=number,
             rung=rung,
             time_out=round(time_out, 3),
         )
-        self.calls[ask.viewing, number] = None
+        self.tune_in_connections[request.viewing, number] = None
         if self.budgets:
-            self.budgets.reserve((ask.viewing, number), self.host.viewings[ask.viewing].charged_budgets)
-        self._keep(ask.viewing, Known.SENT)
-        gevent.spawn(self._tune_in, ask, number, streamer, rung, time_out)
+            self.budgets.reserve(
+                (request.viewing, number), self.host.viewings[request.viewing].charged_budgets
+            )
+        self._write_journal(request.viewing, Known.SENT)
+        gevent.spawn(self._tune_in, request, number, streamer, rung, time_out)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
-        if call := self.calls.get((viewing, number)):
-            call.hang_up()
+        if connection := self.tune_in_connections.get((viewing, number)):
+            connection.half_close()
 
     def set_rung(self, viewing: Id, number: int, streamer: Id, rung: int) -> None:
         session = self.sessions[viewing]
-        session.rung = rung
-        self._keep(viewing, Known.PLAYING)
-        if not session.setting:
-            session.setting = True
+        session.pending_rung = rung
+        self._write_journal(viewing, Known.PLAYING)
+        if not session.setting_rung:
+            session.setting_rung = True
             gevent.spawn(self._set_rung, session, number)
 
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
         if wanted:
-            self._keep(viewing, Known.CLOSING)
+            self._write_journal(viewing, Known.CLOSING)
         gevent.spawn(self._tear_down, viewing, number, streamer, wanted)
 
     def answer(self, viewing: Id, answer: Answer) -> None:
@@ -95,87 +106,94 @@
         if answer.verdict != "plays":
             self.forget(session, played=False)
             return
-        self._keep(viewing, Known.PLAYING)
-        session.done.set()
+        self._write_journal(viewing, Known.PLAYING)
+        session.answered.set()
 
     def forget(self, session: Session, played: bool = True) -> None:
-        """A session that is answered and held no more: whoever waits for its answer or its end is told."""
+        """Drop a session that is over, and wake whoever waits for its answer or its end."""
         del self.sessions[session.viewing]
         if self.journal:
             self.journal.drop(session.viewing)
-        self.on_over(session, played)
-        session.done.set()
+        self.on_session_closed(session, played)
+        session.answered.set()
         session.closed.set()
 
-    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
+    def viewing_ended(self, viewing: Id, reason: EndReason) -> None:
         if session := self.sessions.get(viewing):
             log.info(
                 "ended",
                 viewing=viewing,
                 streamer=session.remote and session.remote.streamer,
-                cause=how.name.lower(),
+                cause=reason.name.lower(),
             )
             self.forget(session)
             if session.remote:
-                self._unfollow(session.remote)
+                self._unsubscribe_if_unused(session.remote)
 
     def probe(self, streamer: Id) -> None:
         gevent.spawn(self._probe, streamer)
 
     def follow(self) -> None:
-        """The list is followed from the start; a feed that failed comes back by itself."""
+        """Do nothing: the streamer list is followed from the start, and its source retries by itself."""
 
     def send_to_peer(self, peer: int, words: bytes) -> None:
-        log.warning("no way to controllers", peer=peer)
+        log.warning("messages to other controllers are not supported", peer=peer)
 
-    def request_budget(self, whole: str) -> None:
+    def request_budget(self, budget: str) -> None:
         if self.budgets:
-            self.budgets.short(whole)
+            self.budgets.request_more(budget)
 
     def wake(self, at: float) -> None:
-        self.alarm.set(at)
+        self.timer.set(at)
 
-    def _keep(self, viewing: Id, known: Known) -> None:
-        """Write a viewing down, before the effect that depends on it."""
+    def _write_journal(self, viewing: Id, stage: Known) -> None:
+        """Record a viewing in the journal, before the effect that depends on it."""
         if self.journal is None or (session := self.sessions.get(viewing)) is None:
             return
-        life = self.host.viewings[viewing]
+        hosted = self.host.viewings[viewing]
         remote = list(session.remote) if session.remote else None
         self.journal.put(
             JournalEntry(
-                known, life.request, life.number, life.streamer, life.rung, session.protocol, session.secret,
-                session.owner, list(session.key), session.digest, remote,
+                stage, hosted.request, hosted.number, hosted.streamer, hosted.rung, session.protocol,
+                session.secret, session.owner, list(session.repeat_key), session.digest, remote,
             )
         )  # fmt: skip
 
-    # The one timer.
+    # The timer.
 
     def run(self) -> None:
-        """Wake the host whenever it asked to be; never returns."""
-        self.alarm.run(self.host.woke)
+        """Wake the host at the times that it sets; never returns."""
+        self.timer.run(self.host.woke)
 
-    # What goes over the network.
+    # Requests to streamers.
 
     def _headers(self) -> list[tuple[str, str]]:
         return [("Via", f"1.1 {self.name}"), ("Accept", "*/*")]
 
-    def _tune_in(self, ask: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
-        viewing, key = ask.viewing, (ask.viewing, number)
+    def _tune_in(
+        self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float
+    ) -> None:
+        viewing, tune_in = request.viewing, (request.viewing, number)
         session = self.sessions.get(viewing)
-        how, load, sure = EndReason.UNREACHED, None, True
+        reason, load, confirmed = EndReason.UNREACHED, None, True
         try:
             if session is None:
                 return
-            # A connection of its own: on a kept one, a reset could not be told from one that came before the
-            # request was read, and whether it ran is what the package's terms go by.
-            call = ClientConnection(self.addresses[streamer], min(self.connect, 0.9 * time_out))
-            if not self._leaves(viewing, number):
-                call.close()
-                how, load = EndReason.FULL, LoadReport()  # it never left, and its streamer is sound
+            # A new connection: on a reused one, a reset could not be distinguished from one that came before
+            # the request was read, and whether the request ran decides whether the package may repeat it.
+            connection = ClientConnection(self.addresses[streamer], min(self.connect, 0.9 * time_out))
+            if not self._may_send(viewing, number):
+                connection.close()
+                reason, load = (
+                    EndReason.FULL,
+                    LoadReport(),
+                )  # not sent, so nothing counts against the streamer
                 return
-            self.calls[key] = call
-            target = self.targets[session.protocol].format(title=quote(str(ask.title), safe=""), rung=rung)
-            call.send(
+            self.tune_in_connections[tune_in] = connection
+            target = self.targets[session.protocol].format(
+                title=quote(str(request.title), safe=""), rung=rung
+            )
+            connection.send(
                 "POST",
                 target,
                 [
@@ -185,45 +203,46 @@
                 ],
                 session.offer,
             )
-            how, sure = EndReason.BROKEN, False
-            reply = call.receive(time_out + REAP)
-            how, load, remote = self._read(streamer, target, reply)
-            sure = reply.status != 201 and reply.status < 500 or how is EndReason.FULL
+            reason, confirmed = EndReason.BROKEN, False
+            reply = connection.receive(time_out + LATE_ANSWER_SECONDS)
+            reason, load, remote = self._read(streamer, target, reply)
+            confirmed = reply.status != 201 and reply.status < 500 or reason is EndReason.FULL
             if remote:
-                self.remotes[key] = session.remote = remote
-                how = None
+                self.remote_sessions[tune_in] = session.remote = remote
+                reason = None
                 if self.host.started(self.clock(), viewing, number, streamer, load):
                     self.follow_events(remote)
                 else:
-                    log.info("late", viewing=viewing, streamer=streamer, number=number)
-            self._pool(self.addresses[streamer]).keep(call)
-        except (OSError, KeyError) as fault:
-            log.debug("tune-in failed", viewing=viewing, streamer=streamer, cause=repr(fault))
-            if call := self.calls.get(key):
-                call.close()
-        except h11.RemoteProtocolError as fault:
-            how = EndReason.FAULTY
-            log.warning("streamer answers no HTTP", viewing=viewing, streamer=streamer, cause=str(fault))
-            self.calls[key].close()
+                    log.info("late start torn down", viewing=viewing, streamer=streamer, number=number)
+            self._pool(self.addresses[streamer]).keep(connection)
+        except (OSError, KeyError) as error:
+            log.debug("tune-in failed", viewing=viewing, streamer=streamer, cause=repr(error))
+            if connection := self.tune_in_connections.get(tune_in):
+                connection.close()
+        except h11.RemoteProtocolError as error:
+            reason = EndReason.FAULTY
+            log.warning("invalid HTTP from streamer", viewing=viewing, streamer=streamer, cause=str(error))
+            self.tune_in_connections[tune_in].close()
         finally:
-            self.calls.pop(key, None)
-            if how is not None:
-                self._over(key, sure)
-                self.host.ended(self.clock(), viewing, number, how, load)
-
-    def _leaves(self, viewing: Id, number: int) -> bool:
-        """Whether a tune-in may leave now: much may have passed since it was decided."""
-        if not self.host.sendable(viewing, number, self.clock(), self.ranked()):
+            self.tune_in_connections.pop(tune_in, None)
+            if reason is not None:
+                self._release_budgets(tune_in, confirmed)
+                self.host.ended(self.clock(), viewing, number, reason, load)
+
+    def _may_send(self, viewing: Id, number: int) -> bool:
+        """Check just before sending that a tune-in is still allowed: time has passed since its decision."""
+        if not self.host.sendable(viewing, number, self.clock(), self.is_rank_valid()):
             return False
-        return self.budgets is None or self.budgets.leaves((viewing, number))
+        return self.budgets is None or self.budgets.may_send((viewing, number))
 
-    def _over(self, thing: tuple[Id, int], sure: bool = True) -> None:
+    def _release_budgets(self, tune_in: tuple[Id, int], confirmed: bool = True) -> None:
         if self.budgets:
-            self.budgets.over(thing, sure)
+            self.budgets.ended(tune_in, confirmed)
 
     def _read(
         self, streamer: Id, target: str, reply: Reply
     ) -> tuple[EndReason, LoadReport | None, RemoteSession | None]:
+        """Read the reply to a tune-in; the end reason counts only where there is no remote session."""
         load = read_load(reply.header(HEADER))
         if reply.status == 201:
             remote = read_remote_session(streamer, target, reply)
@@ -231,75 +250,82 @@
         if reply.status == 503:
             return EndReason.FULL, load, None
         if reply.status in (404, 429):
-            # The streamer is sound, it only cannot play this one: nothing is to be held against its link.
+            # The streamer is healthy and only cannot play this title: nothing counts against its link.
             return EndReason.FULL, load or LoadReport(), None
         if reply.status in (400, 406, 415, 422):
-            # The offer is at fault. Held against streamers, one client could set them all aside.
+            # The offer is invalid. If this counted against streamers, one client could have them all
+            # excluded.
             return EndReason.NOT_SENT, load, None
         return EndReason.FAULTY, load, None
 
     def _set_rung(self, session: Session, number: int) -> None:
-        # One after the other, the newest rung last: two at once could arrive in the other order.
+        # One request at a time, the newest rung last: concurrent requests could arrive in the wrong order.
         try:
-            while session.rung is not None and (remote := session.remote) and remote.layer:
-                rung, session.rung = session.rung, None
+            while session.pending_rung is not None and (remote := session.remote) and remote.layer:
+                rung, session.pending_rung = session.pending_rung, None
                 try:
                     reply = self._call(
                         remote.streamer,
                         "POST",
                         remote.layer,
                         write_layer(rung),
-                        2.0,
+                        SET_RUNG_SECONDS,
                         [("Content-Type", "application/json")],
                     )
                     gone = reply.status in (404, 410)
-                except (OSError, h11.ProtocolError, KeyError) as fault:
+                except (OSError, h11.ProtocolError, KeyError) as error:
                     log.warning(
-                        "rung not set", viewing=session.viewing, streamer=remote.streamer, cause=repr(fault)
+                        "rung not set", viewing=session.viewing, streamer=remote.streamer, cause=repr(error)
                     )
                     continue
                 if gone:
-                    self._over((session.viewing, number))
+                    self._release_budgets((session.viewing, number))
                     self.host.ended(self.clock(), session.viewing, number, EndReason.BROKEN)
         finally:
-            session.setting = False
+            session.setting_rung = False
 
     def _tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
-        remote, sure = self.remotes.pop((viewing, number), None), False
+        remote, confirmed = self.remote_sessions.pop((viewing, number), None), False
         for _ in range(2 if remote else 0):
             with suppress(OSError, h11.ProtocolError, KeyError):
-                if sure := self._call(streamer, "DELETE", remote.path, b"", CLOSE).status < 500:
+                if (
+                    confirmed := self._call(streamer, "DELETE", remote.path, b"", TEARDOWN_SECONDS).status
+                    < 500
+                ):
                     break
-        self._over((viewing, number), sure)
+        self._release_budgets((viewing, number), confirmed)
         if wanted:
             self.host.torn_down(self.clock(), viewing, number)
 
     def _probe(self, streamer: Id) -> None:
         began = self.clock()
-        how, load = EndReason.PLAYED, None
+        outcome, load = EndReason.PLAYED, None
         try:
             target = self.targets["whep"].format(title="-", rung=0)
-            load = read_load(self._call(streamer, "OPTIONS", target, b"", 0.5).header(HEADER))
+            load = read_load(self._call(streamer, "OPTIONS", target, b"", PROBE_SECONDS).header(HEADER))
         except TimeoutError:
-            how = EndReason.TIMED_OUT
+            outcome = EndReason.TIMED_OUT
         except (OSError, h11.ProtocolError, KeyError):
-            how = EndReason.UNREACHED
+            outcome = EndReason.UNREACHED
         now = self.clock()
-        self.host.probed(now, streamer, how, now - began, load)
+        self.host.probed(now, streamer, outcome, now - began, load)
 
-    def there(self, remote: RemoteSession) -> bool | None:
-        """Whether a streamer still has a session; None where it does not say."""
+    def session_exists(self, remote: RemoteSession) -> bool | None:
+        """Return whether a streamer still has a session; None if it does not say."""
         try:
-            # A session resource serves no GET (RFC 9725, 4.2: 405); what matters is that it is one.
-            return self._call(remote.streamer, "GET", remote.path, b"", 0.5).status not in (404, 410)
+            # A session resource serves no GET (RFC 9725, 4.2: 405); only its existence matters here.
+            return self._call(remote.streamer, "GET", remote.path, b"", EXISTS_SECONDS).status not in (
+                404,
+                410,
+            )
         except (OSError, h11.ProtocolError, KeyError):
             return None
 
     def forward(
         self, remote: RemoteSession, method: str, headers: list[tuple[str, str]], body: bytes
     ) -> Reply:
-        """A client's PATCH to its session's streamer; raises OSError, h11.ProtocolError or KeyError."""
-        return self._call(remote.streamer, method, remote.path, body, 3.0, headers)
+        """Forward a client's PATCH to its streamer; raises OSError, h11.ProtocolError or KeyError."""
+        return self._call(remote.streamer, method, remote.path, body, FORWARD_SECONDS, headers)
 
     def _call(
         self, streamer: Id, method: str, target: str, body: bytes, time_out: float, headers=()
@@ -312,49 +338,50 @@
             self.pools[address] = ConnectionPool(address, self.connect)
         return self.pools[address]
 
-    # Event streams: one for each address that streamers name, shared by the viewings that name it.
+    # Event streams: one per address that a streamer names, shared by the viewings that name it.
 
     def follow_events(self, remote: RemoteSession) -> None:
-        """Hear what the streamer of a session says of it."""
+        """Subscribe to the event stream of a session, unless that is done already."""
         key = remote.streamer, remote.events
         if remote.events and key not in self.subscriptions:
-            where = remote.streamer, self.addresses[remote.streamer], remote.events
-            self.subscriptions[key] = EventSubscription(self, self.name, self.connect, self.clock, *where)
+            source = remote.streamer, self.addresses[remote.streamer], remote.events
+            self.subscriptions[key] = EventSubscription(self, self.name, self.connect, self.clock, *source)
 
-    def _unfollow(self, remote: RemoteSession) -> None:
+    def _unsubscribe_if_unused(self, remote: RemoteSession) -> None:
         key = remote.streamer, remote.events
         if not any(
             s.remote and (s.remote.streamer, s.remote.events) == key for s in self.sessions.values()
-        ) and (follower := self.subscriptions.pop(key, None)):
-            follower.stop()
+        ) and (subscription := self.subscriptions.pop(key, None)):
+            subscription.stop()
 
-    def share_told(self, streamer: Id, share: float) -> None:
+    def on_share_reported(self, streamer: Id, share: float) -> None:
         self.host.share_told(self.clock(), streamer, share)
 
-    def load_told(self, streamer: Id, uplink: bool, ratio: float) -> None:
+    def on_load_reported(self, streamer: Id, uplink: bool, ratio: float) -> None:
         self.host.load_told(self.clock(), streamer, uplink, None, ratio)
 
-    def ended_at(self, streamer: Id, resource: str, how: EndReason) -> None:
-        """A streamer says that one of its sessions ended."""
-        for (viewing, number), remote in list(self.remotes.items()):
+    def on_session_ended(self, streamer: Id, resource: str, reason: EndReason) -> None:
+        """Handle a streamer's report that one of its sessions ended."""
+        for (viewing, number), remote in list(self.remote_sessions.items()):
             if remote.streamer == streamer and remote.path == resource:
-                del self.remotes[viewing, number]
-                self._over((viewing, number))
-                self.host.ended(self.clock(), viewing, number, how)
+                del self.remote_sessions[viewing, number]
+                self._release_budgets((viewing, number))
+                self.host.ended(self.clock(), viewing, number, reason)
 
-    def lost(self, streamer: Id, target: str, cause: str) -> None:
-        """A streamer's process is gone, and all that it played with it; `target` was its event stream."""
+    def on_streamer_lost(self, streamer: Id, target: str, cause: str) -> None:
+        """End all viewings of a streamer whose process is gone; `target` was its event stream."""
         self.subscriptions.pop((streamer, target), None)
-        held = self.host.playing_at(streamer)
-        log.warning("streamer lost", streamer=streamer, viewings=len(held), cause=cause)
-        for viewing, number in held:
-            # If it lives after all, only cut off from here, it is to let go of what nobody here knows any
-            # more.
+        playing = self.host.playing_at(streamer)
+        log.warning("streamer lost", streamer=streamer, viewings=len(playing), cause=cause)
+        for viewing, number in playing:
+            # The streamer may only be cut off from here: it must release the sessions, which are no longer
+            # controlled.
             self.tear_down(viewing, number, streamer, False)
             self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
     def close(self) -> None:
-        for follower in self.subscriptions.values():
-            follower.stop()
+        """Stop all subscriptions and close all idle connections."""
+        for subscription in self.subscriptions.values():
+            subscription.stop()
         for pool in self.pools.values():
             pool.close()
--- a/herongap/daemon/timer.py
+++ b/herongap/daemon/timer.py
@@ -1,26 +1,27 @@
-"""The one timer of a controller: the host says when it is to be woken next."""
+"""The single timer of a controller: the host sets the time at which it is to be woken next."""
 
 from collections.abc import Callable
 
 import structlog
 from gevent.event import Event
 
-STUMBLE = 0.05  # seconds after a fault of ours until the host is woken again
+RETRY_AFTER_ERROR_SECONDS = 0.05
 log = structlog.get_logger()
 
 
 class Timer:
-    """Rings at the time that was set last, on the host's clock; setting it anew replaces that."""
+    """Fires at the time set last, on the host's clock; setting a new time replaces the previous one."""
 
     def __init__(self, clock: Callable[[], float]):
         self.clock, self.due, self._changed = clock, float("inf"), Event()
 
     def set(self, at: float) -> None:
+        """Set the time at which the timer fires."""
         self.due = at
         self._changed.set()
 
-    def run(self, ring: Callable[[float], object]) -> None:
-        """Call `ring` with the time whenever it is due; never returns."""
+    def run(self, callback: Callable[[float], object]) -> None:
+        """Call `callback` with the current time whenever the timer is due; never returns."""
         while True:
             self._changed.clear()
             left = self.due - self.clock()
@@ -30,8 +31,8 @@
             self.due = float("inf")
             now = self.clock()
             try:
-                ring(now)
+                callback(now)
             except Exception:
-                log.exception("a fault of ours; the timer goes on")
-                # The host was not asked what is due next.
-                self.set(now + STUMBLE)
+                log.exception("internal error in the timer callback; the timer continues")
+                # The callback failed before it could set the next due time.
+                self.set(now + RETRY_AFTER_ERROR_SECONDS)
