--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -144,7 +144,7 @@
 def rotation(near: Path, seconds: float = 20.0) -> None:
     b = Bench(near, token=3.0, rotate=2.0, ahead=1.0)
     dash = b.daemon.handler.dash
-    dash._renew = dash.load
+    dash._reload_keys_if_due = dash.load
     players = [b.player(f"p{i}") for i in range(40)]
     for p in players:
         p.join()
