--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -8,7 +8,7 @@
 
 from herongap.accord import Commit, Kind, Shares, Tally, Terms
 from herongap.etcd import messages as m
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 from herongap.ini.parts import WholeTerms
 
 POLL_SECONDS = 0.05  # between two checks of what is due; events are handled sooner
@@ -42,13 +42,13 @@
         self.wakeup = Event()
         self.unknown_outcomes = 0  # commits that had no answer
 
-    def documents_changed(self, revision: int, items: Mapping[str, Item]) -> None:
+    def documents_changed(self, revision: int, items: Mapping[str, KeyEntry]) -> None:
         """Take the budget documents as they are at a revision of the list."""
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
             bad = shares.bad
-            shares.shown(now, revision, item.mod if item else 0, item.value if item else None)
+            shares.shown(now, revision, item.mod_revision if item else 0, item.value if item else None)
             if shares.bad and shares.bad != bad:
                 log.error(
                     "budget document not readable, the budget is not used", budget=name, cause=shares.bad
@@ -135,7 +135,7 @@
             shares.unanswered(self.clock(), commit)
             return
         at = reply.header.revision
-        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.shown
+        revision, version, data = (at, at, commit.data) if reply.succeeded else reply.conflict
         shares.answered(self.clock(), commit, revision, reply.succeeded, version, data)
         self.wakeup.set()
 
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -20,7 +20,15 @@
 from herongap.daemon.keys import KeyStore
 from herongap.daemon.session import Session
 from herongap.daemon.session_service import SessionRequest, SessionService
-from herongap.dash import MPD, Asset, Doubt, Grant, Video, manifest, read_cmcd
+from herongap.dash import (
+    MPD_MEDIA_TYPE,
+    Asset,
+    EarlyReloadDetector,
+    TokenClaims,
+    Video,
+    build_manifest,
+    read_cmcd,
+)
 from herongap.host import ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini.parts import DashPart
@@ -53,7 +61,7 @@
     attempt: int = 0
     session: Session | None = None
     closed: bool = False
-    doubt: Doubt = field(default_factory=Doubt)
+    reload_detector: EarlyReloadDetector = field(default_factory=EarlyReloadDetector)
 
 
 class DashService:
@@ -158,7 +166,7 @@
                     self.service.host.left(self.service.clock(), session.viewing)
                     return problem("manifest-over")
                 if player.session is not session:
-                    player.session, player.doubt = session, Doubt()
+                    player.session, player.reload_detector = session, EarlyReloadDetector()
                 hosted = self._playing(session)
             if hosted:
                 return self._write(player, session, hosted, request)
@@ -166,11 +174,11 @@
 
     def _given_up(self, player: PlayerSession, session: Session, hosted) -> bool:
         """End a viewing that its player seems no longer to be served by; return whether it was ended."""
-        if not player.doubt.asked(self.service.clock(), self._update):
+        if not player.reload_detector.manifest_requested(self.service.clock(), self._update):
             return False
         number, exists = hosted.number, self.service.port.session_exists(session.remote)
         now = self.service.clock()
-        if not player.doubt.answered(now, exists) or self._playing(session) is not hosted:
+        if not player.reload_detector.streamer_answered(now, exists) or self._playing(session) is not hosted:
             return False
         log.info(
             "viewing given up after early manifest requests",
@@ -208,30 +216,30 @@
             self.service.site.tokens[player.owner].member if player.owner else "",
         )
         # The rung that is allowed now is the token's top: a raise takes effect with the next manifest.
-        grant = Grant(
+        claims = TokenClaims(
             f"{self.service.port.name}/{session.viewing}", player.title, player.package, member,
             min(package.floor, hosted.rung), hosted.rung, streamer, now, now + self.settings.token,
         )  # fmt: skip
-        token = self.keys.mint(now, grant)
+        token = self.keys.mint(now, claims)
         host, port = self.service.port.addresses[hosted.streamer]
         segment_base = f"http://{host}:{port}/dash/{quote(player.title, safe='')}/{token}/"
         own_base = self.settings.url or f"http://{request.headers.get('host', '')}"
         location = f"{own_base}/manifests/{player.secret}"
-        body = manifest(
-            self._asset(player.title), grant.floor, grant.top, segment_base, location, now, self._update
+        body = build_manifest(
+            self._asset(player.title), claims.floor, claims.top, segment_base, location, now, self._update
         )
         headers = (
-            ("Content-Type", MPD), ("Cache-Control", "no-store"), ("Content-Location", location),
+            ("Content-Type", MPD_MEDIA_TYPE), ("Cache-Control", "no-store"), ("Content-Location", location),
             ("ETag", f'"{player.attempt - 1}"'), *CORS,
         )  # fmt: skip
         return Reply(200, headers, body)
 
     def _asset(self, title: str) -> Asset:
-        length = self.service.catalogue.lengths.get(title)
-        if length is None:
+        duration = self.service.catalogue.lengths.get(title)
+        if duration is None:
             # Segments of a live title are numbered from the epoch, so that all controllers agree.
-            return Asset(self._videos, self.settings.segment, began=0.0)
-        return Asset(self._videos, self.settings.segment, length=length)
+            return Asset(self._videos, self.settings.segment, start_time=0.0)
+        return Asset(self._videos, self.settings.segment, duration_seconds=duration)
 
     def _cmcd(self, request: Request) -> dict:
         return read_cmcd(request.query.get("CMCD"), request.headers)
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -13,15 +13,27 @@
 from herongap.daemon.http_connection import ClientConnection, ConnectionPool, PeerDisconnectedError
 from herongap.daemon.list_cache import ListCache
 from herongap.daemon.listen import read_address
-from herongap.etcd import Directory, Endpoints, Follower, Frames, Membership, Need, Refused, Step, Told
+from herongap.etcd import (
+    EndpointSelector,
+    EtcdError,
+    LeaseRequest,
+    LineSplitter,
+    Membership,
+    MessageOutcome,
+    NextAction,
+    PrefixFollower,
+    Registry,
+)
 from herongap.etcd import messages as m
-from herongap.etcd.keys import changed_value
+from herongap.etcd.keys import update_value
 from herongap.ini.parts import Etcd
 
-RANK_CHECK_SECONDS = 0.1  # between two checks whether the lease still holds; the lease's MARGIN covers it
+RANK_CHECK_SECONDS = (
+    0.1  # between two checks whether the lease still holds; the lease's CLOCK_MARGIN_SECONDS covers it
+)
 PAGE_SIZE = 1000  # keys in one page of a read
 REVOKE_TIMEOUT_SECONDS = 0.5
-NETWORK_ERRORS = (OSError, PeerDisconnectedError, h11.RemoteProtocolError, Refused, m.Garbled)
+NETWORK_ERRORS = (OSError, PeerDisconnectedError, h11.RemoteProtocolError, EtcdError, m.MalformedReplyError)
 log = structlog.get_logger()
 
 
@@ -49,8 +61,8 @@
         """
         try:
             return self._call(address, path, body, kind, self.headers(address))
-        except Refused as error:
-            if error.code != m.UNAUTHENTICATED or not self.settings.user:
+        except EtcdError as error:
+            if error.code != m.GRPC_UNAUTHENTICATED or not self.settings.user:
                 raise
         self.forget_token()
         return self._call(address, path, body, kind, self.headers(address))
@@ -61,8 +73,8 @@
             pool = self.pools[address] = ConnectionPool(read_address(address), self.settings.connect)
         reply = pool.call("POST", path, headers, body, self.settings.time_out)
         if reply.status != 200:
-            raise m.refusal(reply.body)
-        return m.read(reply.body, kind)
+            raise m.decode_error(reply.body)
+        return m.decode_reply(reply.body, kind)
 
     def forget_token(self) -> None:
         """Drop the token, so that the next request authenticates again."""
@@ -70,7 +82,9 @@
 
     def _authenticate(self, address: str) -> None:
         body = m.authenticate_body(self.settings.user, self.settings.secret())
-        self.token = self._call(address, "/v3/auth/authenticate", body, m.Token, self._headers()).token
+        self.token = self._call(
+            address, "/v3/auth/authenticate", body, m.AuthenticateResponse, self._headers()
+        ).token
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -92,11 +106,11 @@
         self.settings, self.name, self.clock = settings, name, clock
         self.on_list_change, self.on_rank_change = on_list_change, on_rank_change
         self.client = EtcdClient(settings, name)
-        self.endpoints = Endpoints(settings.endpoints, seed)
+        self.endpoints = EndpointSelector(settings.endpoints, seed)
         # Separate for writes: a member cut off from its peers still serves what it had, but takes no writes.
-        self.write_endpoints = Endpoints(settings.endpoints, seed)
-        self.follower = Follower()
-        self.directory = Directory(settings.prefix, epoch_on_clock(clock))
+        self.write_endpoints = EndpointSelector(settings.endpoints, seed)
+        self.follower = PrefixFollower()
+        self.directory = Registry(settings.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, settings.ttl)
         self.claim_key = f"{settings.prefix}controllers/{number}"
         self.claim_revision, self.renewal_failing = -1, False
@@ -106,7 +120,7 @@
         )
         self.cache = ListCache(settings.remembered) if settings.remembered else None
         self.confirmed_at: float | None = None  # when the list was last known to be complete
-        self.from_cache, self.place = False, None
+        self.from_cache, self.controller_rank = False, None
         self._has_unpublished = False
         self._stream: ClientConnection | None = None
         self._cached_revision = 0
@@ -118,7 +132,7 @@
             return "following"
         if self.confirmed_at is None:
             return "remembered" if self.from_cache else "starting"
-        return "reading" if self.follower.need is Need.READ else "lost"
+        return "reading" if self.follower.next_action is NextAction.READ else "lost"
 
     def status(self) -> dict:
         """Return the state of the list, the membership and the budgets, for operators."""
@@ -126,11 +140,12 @@
         age = None if self.confirmed_at is None else round(now - self.confirmed_at, 3)
         controllers = {str(n): name for n, name in sorted(self.directory.controllers.items())}
         return {
-            "state": self.state, "revision": f.revision, "seen": f.seen, "cluster": f"{f.cluster:x}",
-            "age": age, "counts": f.counts, "bad": self.directory.bad,
+            "state": self.state, "revision": f.revision, "seen": f.highest_revision,
+            "cluster": f"{f.cluster:x}",
+            "age": age, "counts": f.counts, "bad": self.directory.bad_values,
             "drains": sorted(self.directory.drains),
             "controllers": controllers, "number": self.membership.number,
-            "holds_number": self.membership.holds(now), "place": self.place and list(self.place),
+            "holds_number": self.membership.holds_number(now), "place": self.controller_rank and list(self.controller_rank),
             "budgets": self.budgets.status() if self.budgets else {},
         }  # fmt: skip
 
@@ -138,7 +153,7 @@
         """Publish the cached list, if any, then follow etcd; returns the greenlets that do so."""
         cached = self.cache.load() if self.cache else None
         if cached:
-            self.follower = Follower(*cached)
+            self.follower = PrefixFollower(*cached)
             self.from_cache = True
             self._publish("remembered", first=True)
             log.warning(
@@ -160,52 +175,52 @@
         while True:
             address = self.endpoints.choose(self.clock())
             try:
-                if self.follower.need is Need.READ:
+                if self.follower.next_action is NextAction.READ:
                     self._read_list(address)
                 else:
                     self._watch(address)
             except NETWORK_ERRORS as error:
-                self.endpoints.failed(address)
-                if isinstance(error, Refused) and error.code == m.UNAUTHENTICATED:
+                self.endpoints.mark_failed(address)
+                if isinstance(error, EtcdError) and error.code == m.GRPC_UNAUTHENTICATED:
                     self.client.forget_token()
                 log.warning("etcd request failed", member=address, cause=repr(error), state=self.state)
             except Exception:
                 # Internal error: retrying is better than a list that silently stops being updated.
-                self.endpoints.failed(address)
+                self.endpoints.mark_failed(address)
                 log.exception("internal error while following the list", member=address)
-            gevent.sleep(self.endpoints.wait())
+            gevent.sleep(self.endpoints.retry_delay())
 
     def _read_list(self, address: str) -> None:
-        result = Told.PART
-        while result is Told.PART:
-            after, revision = self.follower.read_from()
+        result = MessageOutcome.PARTIAL
+        while result is MessageOutcome.PARTIAL:
+            after, revision = self.follower.next_page_start()
             first_key = after.encode("utf-8", "surrogateescape") + b"\0" if after else self.settings.prefix
-            body = m.range_body(first_key, m.end_of(self.settings.prefix), revision, PAGE_SIZE)
+            body = m.range_body(first_key, m.prefix_end(self.settings.prefix), revision, PAGE_SIZE)
             try:
-                reply = self.client.call(address, "/v3/kv/range", body, m.Range)
+                reply = self.client.call(address, "/v3/kv/range", body, m.RangeResponse)
             except NETWORK_ERRORS:
-                self.follower.unread()
+                self.follower.abort_read()
                 raise
-            result = self.follower.paged(reply)
+            result = self.follower.handle_page(reply)
         if not self._is_usable(address, result, reply.header.cluster_id):
             return
-        self.endpoints.fine(address)
+        self.endpoints.mark_healthy(address)
         first = self.confirmed_at is None and not self.from_cache
         self.from_cache, self.confirmed_at = False, self.clock()
         self._publish("whole", first)
         log.info("list read", member=address, revision=self.follower.revision,
-                 streamers=len(self.directory.streamers), bad=len(self.directory.bad))  # fmt: skip
+                 streamers=len(self.directory.streamers), bad=len(self.directory.bad_values))  # fmt: skip
 
     def _watch(self, address: str) -> None:
-        generation, start = self.follower.watch_from()
+        generation, start = self.follower.start_watch()
         headers = self.client.headers(address)
         stream = self._stream = ClientConnection(read_address(address), self.settings.connect)
-        frames = Frames()
+        frames = LineSplitter()
         try:
             stream.send("POST", "/v3/watch", headers, m.watch_body(self.settings.prefix, start))
             head = stream.head(time.monotonic() + self.settings.time_out)
             if head.status != 200:
-                raise m.refusal(b"".join(stream.chunks(self.settings.time_out)))
+                raise m.decode_error(b"".join(stream.chunks(self.settings.time_out)))
             while True:
                 timeout = self.settings.silent if self.follower.watching else self.settings.time_out
                 try:
@@ -215,47 +230,49 @@
                         raise
                     # Either nothing has changed, or the member is cut off from the others and cannot know. A
                     # new watch, at another member, misses nothing.
-                    self.endpoints.quiet(address)
+                    self.endpoints.mark_silent(address)
                     return
                 if chunk is None:
                     raise ConnectionResetError("watch stream ended")
                 for line in frames.feed(chunk):
-                    if not self._process_watch_reply(generation, address, m.read_line(line, m.Watch)):
+                    if not self._process_watch_reply(
+                        generation, address, m.decode_stream_line(line, m.WatchResponse)
+                    ):
                         return
                 self._publish("changes")
         finally:
-            self.follower.broke(generation)
+            self.follower.stop_watch(generation)
             stream.close()
             self._publish("changes")
 
-    def _process_watch_reply(self, generation: int, address: str, reply: m.Watch) -> bool:
+    def _process_watch_reply(self, generation: int, address: str, reply: m.WatchResponse) -> bool:
         """Pass a message of the watch to the follower; return whether to go on with this watch."""
-        result = self.follower.watched(generation, reply)
-        if result is Told.TAKEN:
+        result = self.follower.handle_watch(generation, reply)
+        if result is MessageOutcome.APPLIED:
             self.confirmed_at = self.clock()
-        if reply.created and result is Told.TAKEN:
-            self.endpoints.fine(address)
-        if result in (Told.ENDED, Told.COMPACTED):
+        if reply.created and result is MessageOutcome.APPLIED:
+            self.endpoints.mark_healthy(address)
+        if result in (MessageOutcome.CANCELED, MessageOutcome.COMPACTED):
             log.warning("watch ended", member=address, cause=reply.cancel_reason, word=result.value)
-            if result is Told.ENDED:
-                self.endpoints.failed(address)
+            if result is MessageOutcome.CANCELED:
+                self.endpoints.mark_failed(address)
             return False
         return self._is_usable(address, result, reply.header.cluster_id)
 
-    def _is_usable(self, address: str, result: Told, cluster: int) -> bool:
+    def _is_usable(self, address: str, result: MessageOutcome, cluster: int) -> bool:
         """Return whether a member's reply was current and of the cluster that is followed."""
-        if result is Told.BEHIND:
-            self.endpoints.behind(self.clock(), address)
-            log.warning("etcd member behind", member=address, seen=self.follower.seen)
+        if result is MessageOutcome.MEMBER_BEHIND:
+            self.endpoints.mark_behind(self.clock(), address)
+            log.warning("etcd member behind", member=address, seen=self.follower.highest_revision)
             return False
-        if result is Told.FOREIGN:
+        if result is MessageOutcome.OTHER_CLUSTER:
             log.error("etcd member belongs to another cluster", member=address, cluster=cluster)
-            if self.endpoints.foreign(self.clock(), address, cluster):
+            if self.endpoints.mark_other_cluster(self.clock(), address, cluster):
                 log.error("switched to another cluster: every member belongs to it", cluster=cluster)
-                self.follower.adopt(cluster)
+                self.follower.switch_cluster(cluster)
                 if self.budgets:
                     # Leases and revisions of the previous cluster mean nothing in this one.
-                    self.membership.lapsed()
+                    self.membership.lease_lost()
                     self.budgets.reset()
             return False
         return True
@@ -267,14 +284,14 @@
         """
         if self._has_unpublished:
             kind = "whole"  # an error came after changes were taken and before they were reported
-        changes = self.follower.changes()
-        if self.budgets and self.follower.need is not Need.READ:
+        changes = self.follower.take_changes()
+        if self.budgets and self.follower.next_action is not NextAction.READ:
             self.budgets.documents_changed(self.follower.revision, self.follower.items)
         if not changes and kind == "changes":
             return
         self._has_unpublished = True
-        touched = self.directory.take(self.clock(), changes, first)
-        entries = self.directory.lines(touched) if kind == "changes" else self.directory.whole()
+        touched = self.directory.apply(self.clock(), changes, first)
+        entries = self.directory.entries(touched) if kind == "changes" else self.directory.all_entries()
         if touched or kind != "changes":
             # Addresses of the reported entries only: a list of thousands changes a thousand times a second.
             self.on_list_change(kind, entries, self.directory.addresses(entry.streamer for entry in entries))
@@ -287,20 +304,20 @@
         """Hold the lease and the claim of the controller number; never returns."""
         while True:
             now = self.clock()
-            step = self.membership.step(now)
+            step = self.membership.next_request(now)
             if step:
                 try:
                     self._run_step(step, now)
                 except NETWORK_ERRORS as error:
-                    self.membership.failed(self.clock())
+                    self.membership.request_failed(self.clock())
                     self.renewal_failing = True
                     log.warning("lease request failed", step=step.value, cause=repr(error))
-                    if isinstance(error, Refused) and error.code == m.NOT_FOUND:
-                        self.membership.lapsed()
+                    if isinstance(error, EtcdError) and error.code == m.GRPC_NOT_FOUND:
+                        self.membership.lease_lost()
                 except Exception:
-                    self.membership.failed(self.clock())
+                    self.membership.request_failed(self.clock())
                     log.exception("internal error while keeping the lease", step=step.value)
-            gevent.sleep(min(0.2, max(0.01, self.membership.due - self.clock())))
+            gevent.sleep(min(0.2, max(0.01, self.membership.next_due - self.clock())))
 
     def _recheck_rank(self) -> None:
         """Update the rank periodically: a lease expires with time, also while its renewal hangs."""
@@ -308,27 +325,27 @@
             self._update_rank()
             gevent.sleep(RANK_CHECK_SECONDS)
 
-    def _run_step(self, step: Step, now: float) -> None:
+    def _run_step(self, step: LeaseRequest, now: float) -> None:
         match step:
-            case Step.GRANT:
-                reply = self._write("/v3/lease/grant", m.grant_body(int(self.settings.ttl)), m.Lease)
-                self.membership.granted(now, reply.ID, reply.TTL)
-            case Step.CLAIM:
-                value = changed_value(None, name=self.name)
+            case LeaseRequest.GRANT:
+                reply = self._write("/v3/lease/grant", m.grant_body(int(self.settings.ttl)), m.LeaseResponse)
+                self.membership.lease_granted(now, reply.ID, reply.TTL)
+            case LeaseRequest.CLAIM:
+                value = update_value(None, name=self.name)
                 body = m.claim_body(self.claim_key, value, self.membership.lease)
-                reply = self._write("/v3/kv/txn", body, m.Txn)
-                won = reply.won(self.membership.lease)
+                reply = self._write("/v3/kv/txn", body, m.TxnResponse)
+                won = reply.claimed(self.membership.lease)
                 if won:
                     self.claim_revision = (
-                        reply.header.revision if reply.succeeded else reply.found.create_revision
+                        reply.header.revision if reply.succeeded else reply.existing.create_revision
                     )
                 self.membership.claim_answered(self.clock(), now, won)
                 if not won:
                     log.warning("controller number held by another process", key=self.claim_key)
-            case Step.KEEP:
+            case LeaseRequest.KEEP_ALIVE:
                 body = m.lease_body(self.membership.lease)
                 reply = self._write("/v3/lease/keepalive", body, _KeepAliveReply)
-                self.membership.kept(now, reply.result.TTL)
+                self.membership.keepalive_answered(now, reply.result.TTL)
                 self.renewal_failing = False
 
     def _write(self, path: str, body: bytes, kind: type):
@@ -337,16 +354,16 @@
         try:
             reply = self.client.call(address, path, body, kind)
         except NETWORK_ERRORS:
-            self.write_endpoints.failed(address)
+            self.write_endpoints.mark_failed(address)
             raise
-        self.write_endpoints.fine(address)
+        self.write_endpoints.mark_healthy(address)
         return reply
 
-    def _commit(self, body: bytes) -> m.Txn:
+    def _commit(self, body: bytes) -> m.TxnResponse:
         """Send a transaction; an answer of another cluster counts as none."""
-        reply = self._write("/v3/kv/txn", body, m.Txn)
+        reply = self._write("/v3/kv/txn", body, m.TxnResponse)
         if reply.header.cluster_id != self.follower.cluster:
-            raise m.Garbled(f"another cluster: {reply.header.cluster_id:x}")
+            raise m.MalformedReplyError(f"another cluster: {reply.header.cluster_id:x}")
         return reply
 
     def _live_claims(self) -> dict[str, int] | None:
@@ -355,23 +372,29 @@
             return None
         start = f"{self.settings.prefix}controllers/"
         found = self.follower.items.items()
-        return {key.removeprefix(start): item.create for key, item in found if key.startswith(start)}
+        return {key.removeprefix(start): item.create_revision for key, item in found if key.startswith(start)}
 
     def is_rank_valid(self) -> bool:
         """Return whether the rank reported last still holds; a process that was stopped checks before it
         acts.
         """
-        return self.place is None or self.place.rank is None or self.membership.holds(self.clock())
+        return (
+            self.controller_rank is None
+            or self.controller_rank.rank is None
+            or self.membership.holds_number(self.clock())
+        )
 
     def _update_rank(self) -> None:
         if self.budgets:
-            held = self.membership.holds(self.clock())
-            self.budgets.lease_changed(self.claim_revision, self.membership.until, held, self.renewal_failing)
+            held = self.membership.holds_number(self.clock())
+            self.budgets.lease_changed(
+                self.claim_revision, self.membership.trusted_until, held, self.renewal_failing
+            )
         live = None if self.confirmed_at is None else self.directory.controllers
-        place = self.membership.place(self.clock(), live)
-        if place != self.place:
-            self.place = place
-            self.on_rank_change(*place)
+        rank = self.membership.rank_among(self.clock(), live)
+        if rank != self.controller_rank:
+            self.controller_rank = rank
+            self.on_rank_change(*rank)
 
     # The cache on disk.
 
@@ -396,7 +419,7 @@
             try:
                 body = m.lease_body(self.membership.lease)
                 with gevent.Timeout(REVOKE_TIMEOUT_SECONDS, OSError("too slow")):
-                    self._write("/v3/lease/revoke", body, m.Lease)
+                    self._write("/v3/lease/revoke", body, m.LeaseResponse)
             except NETWORK_ERRORS as error:
                 log.info("lease not revoked, it will expire", cause=repr(error))
         if self.cache:
@@ -406,4 +429,4 @@
 
 
 class _KeepAliveReply(m.msgspec.Struct):
-    result: m.Lease
+    result: m.LeaseResponse
--- a/herongap/daemon/http_connection.py
+++ b/herongap/daemon/http_connection.py
@@ -19,7 +19,7 @@
 from herongap.daemon.errors import PeerDisconnectedError
 from herongap.daemon.listen import Address
 from herongap.http import Reply, Request, problem
-from herongap.intake import Bounds
+from herongap.overload import ProcessLimits
 
 READ_SIZE_BYTES = 65536
 MAX_REPLY_HEAD_BYTES = 65536
@@ -62,13 +62,15 @@
         return done.is_set()
 
 
-def serve(sock: socket.socket, name: str, handle: Callable[[Request, Peer], Reply], bounds: Bounds) -> None:
+def serve(
+    sock: socket.socket, name: str, handle: Callable[[Request, Peer], Reply], limits: ProcessLimits
+) -> None:
     """Serve one connection until it ends. `handle` may block; an exception of it is answered with 500."""
     sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
-    conn = h11.Connection(h11.SERVER, max_incomplete_event_size=bounds.header)
+    conn = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header)
     peer = Peer(sock, name)
     try:
-        while _serve_one(sock, conn, peer, handle, bounds):
+        while _serve_one(sock, conn, peer, handle, limits):
             conn.start_next_cycle()
     except (PeerDisconnectedError, OSError, h11.LocalProtocolError):
         pass
@@ -77,20 +79,20 @@
             sock.close()
 
 
-def _serve_one(sock, conn, peer, handle, bounds) -> bool:
+def _serve_one(sock, conn, peer, handle, limits) -> bool:
     try:
-        request = _read_request(sock, conn, peer, bounds)
+        request = _read_request(sock, conn, peer, limits)
     except h11.RemoteProtocolError as error:
         kind = "header-too-large" if error.error_status_hint == 431 else "bad-request"
-        _send(sock, conn, problem(kind, str(error)), "", bounds, close=True)
+        _send(sock, conn, problem(kind, str(error)), "", limits, close=True)
         return False
     except gevent.Timeout:
-        _send(sock, conn, problem("slow-request"), "", bounds, close=True)
+        _send(sock, conn, problem("slow-request"), "", limits, close=True)
         return False
     if request is None:
         return False
     if isinstance(request, Reply):
-        _send(sock, conn, request, "", bounds, close=True)
+        _send(sock, conn, request, "", limits, close=True)
         return False
     try:
         reply = handle(request, peer)
@@ -99,7 +101,7 @@
     except Exception as error:
         get_hub().handle_error(gevent.getcurrent(), *_exc_info(error))
         reply = problem("internal")
-    _send(sock, conn, reply, request.method, bounds, close=False)
+    _send(sock, conn, reply, request.method, limits, close=False)
     return conn.our_state is h11.DONE and conn.their_state is h11.DONE
 
 
@@ -107,16 +109,16 @@
     return type(error), error, error.__traceback__
 
 
-def _read_request(sock, conn, peer, bounds) -> Request | Reply | None:
+def _read_request(sock, conn, peer, limits) -> Request | Reply | None:
     head = None
     body, size = [], 0
-    deadline = time.monotonic() + bounds.idle_seconds
+    deadline = time.monotonic() + limits.idle_seconds
     started = False
     while True:
         event = conn.next_event()
         if event is h11.NEED_DATA:
             if head is not None and conn.they_are_waiting_for_100_continue:
-                _write(sock, conn.send(h11.InformationalResponse(status_code=100, headers=[])), bounds)
+                _write(sock, conn.send(h11.InformationalResponse(status_code=100, headers=[])), limits)
             try:
                 data = _receive(sock, deadline)
             except gevent.Timeout:
@@ -127,19 +129,19 @@
                 return None
             if not started:
                 # One deadline for the whole head: a byte a second must not hold a connection for hours.
-                started, deadline = True, time.monotonic() + bounds.header_seconds
+                started, deadline = True, time.monotonic() + limits.header_seconds
             conn.receive_data(data)
         elif isinstance(event, h11.Request):
             head = event
-            deadline = time.monotonic() + bounds.body_seconds
+            deadline = time.monotonic() + limits.body_seconds
             length = dict(event.headers).get(b"content-length")
-            if length is not None and int(length) > bounds.body:
+            if length is not None and int(length) > limits.body:
                 # Refused before the body is read, so that a client need not send a hundred megabytes first.
-                return problem("too-large", f"at most {bounds.body} bytes")
+                return problem("too-large", f"at most {limits.body} bytes")
         elif isinstance(event, h11.Data):
             size += len(event.data)
-            if size > bounds.body:
-                return problem("too-large", f"at most {bounds.body} bytes")
+            if size > limits.body:
+                return problem("too-large", f"at most {limits.body} bytes")
             body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             return _request(head, b"".join(body), peer)
@@ -166,15 +168,15 @@
         raise gevent.Timeout(left) from error
 
 
-def _write(sock, data: bytes, bounds) -> None:
-    sock.settimeout(bounds.write_seconds)
+def _write(sock, data: bytes, limits) -> None:
+    sock.settimeout(limits.write_seconds)
     try:
         sock.sendall(data)
     except TimeoutError as error:
         raise PeerDisconnectedError("slow reader") from error
 
 
-def _send(sock, conn, reply: Reply, method: str, bounds, close: bool) -> None:
+def _send(sock, conn, reply: Reply, method: str, limits, close: bool) -> None:
     body = reply.body
     headers = [*reply.headers]
     if isinstance(body, bytes):
@@ -192,14 +194,14 @@
     if isinstance(body, bytes):
         if body:
             out += conn.send(h11.Data(data=body))
-        _write(sock, out + conn.send(h11.EndOfMessage()), bounds)
+        _write(sock, out + conn.send(h11.EndOfMessage()), limits)
         if close:
             _drain_before_close(sock)
         return
-    _write(sock, out, bounds)
+    _write(sock, out, limits)
     for chunk in body:
-        _write(sock, conn.send(h11.Data(data=chunk)), bounds)
-    _write(sock, conn.send(h11.EndOfMessage()), bounds)
+        _write(sock, conn.send(h11.Data(data=chunk)), limits)
+    _write(sock, conn.send(h11.EndOfMessage()), limits)
 
 
 def _drain_before_close(sock) -> None:
@@ -361,9 +363,18 @@
     """Accepts connections and serves each in its own greenlet."""
 
     def __init__(
-        self, listener: socket.socket, handle: Callable[[Request, Peer], Reply], bounds: Bounds, intake=None
+        self,
+        listener: socket.socket,
+        handle: Callable[[Request, Peer], Reply],
+        limits: ProcessLimits,
+        overload_guard=None,
     ):
-        self.listener, self.handle, self.bounds, self.intake = listener, handle, bounds, intake
+        self.listener, self.handle, self.limits, self.overload_guard = (
+            listener,
+            handle,
+            limits,
+            overload_guard,
+        )
         self.address: Address = listener.getsockname()
         self.open: set = set()
         self._accepting = gevent.spawn(self._accept)
@@ -379,7 +390,7 @@
                 get_hub().handle_error(self, *_exc_info(error))
                 gevent.sleep(0.1)
                 continue
-            if self.intake and not self.intake.connect(peer[0]):
+            if self.overload_guard and not self.overload_guard.connect(peer[0]):
                 gevent.spawn(self._reject, sock)
                 continue
             self.open.add(sock)
@@ -387,17 +398,17 @@
 
     def _serve(self, sock, name: str) -> None:
         try:
-            serve(sock, name, self.handle, self.bounds)
+            serve(sock, name, self.handle, self.limits)
         finally:
             self.open.discard(sock)
-            if self.intake:
-                self.intake.disconnect(name)
+            if self.overload_guard:
+                self.overload_guard.disconnect(name)
 
     def _reject(self, sock) -> None:
         conn = h11.Connection(h11.SERVER)
         with suppress(OSError, PeerDisconnectedError, h11.LocalProtocolError):
             reply = problem("overloaded", "too many connections", [("Retry-After", "1")])
-            _send(sock, conn, reply, "", self.bounds, close=True)
+            _send(sock, conn, reply, "", self.limits, close=True)
         with suppress(OSError):
             sock.close()
 
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -16,7 +16,7 @@
 from joserfc.errors import JoseError
 from joserfc.jwk import OKPKey
 
-from herongap.dash import Grant, Key, Ring, mint, new_key, published
+from herongap.dash import KeyRotation, SigningKey, TokenClaims, generate_key, mint, public_jwks
 from herongap.errors import HerongapError, Unusable
 
 LOCK_TIMEOUT_SECONDS = 5.0
@@ -41,7 +41,7 @@
     def __init__(self, folder: str | Path, rotate: float, ahead: float, longest: float):
         self.folder, self.schedule = Path(folder), (rotate, ahead, longest)
         self.pairs: dict[str, OKPKey] = {}
-        self.ring = Ring((), *self.schedule)
+        self.rotation = KeyRotation((), *self.schedule)
 
     def load(self, now: float) -> None:
         """Read the folder, make a key if one is due and delete expired ones.
@@ -56,26 +56,26 @@
             for path in sorted(self.folder.glob("*.key")):
                 if key := self._read(path):
                     loaded.append(key)
-            self.ring = Ring(loaded, *self.schedule)
-            if self.ring.due(now):
+            self.rotation = KeyRotation(loaded, *self.schedule)
+            if self.rotation.needs_new_key(now):
                 self._create_key(now)
-            for key in self.ring.dead(now):
+            for key in self.rotation.remove_expired(now):
                 self._path(key.kid).unlink(missing_ok=True)
                 self.pairs.pop(key.kid, None)
                 log.info("expired key deleted", kid=key.kid)
 
-    def mint(self, now: float, grant: Grant) -> str:
+    def mint(self, now: float, claims: TokenClaims) -> str:
         """Return a token signed with the current signing key."""
-        return mint(self.pairs[self.ring.signing(now).kid], grant)
+        return mint(self.pairs[self.rotation.signing_key(now).kid], claims)
 
     def jwks(self, now: float) -> dict:
         """Return the JWK set that streamers verify tokens with: the public keys alone."""
-        return published([self.pairs[key.kid] for key in self.ring.published(now)])
+        return public_jwks([self.pairs[key.kid] for key in self.rotation.published_keys(now)])
 
     def _path(self, kid: str) -> Path:
         return self.folder / f"{kid}.key"
 
-    def _read(self, path: Path) -> Key | None:
+    def _read(self, path: Path) -> SigningKey | None:
         _check_permissions(path)
         try:
             record = json.loads(path.read_text(encoding="utf-8"))
@@ -83,7 +83,7 @@
             if pair.kid != path.stem or not pair.is_private:
                 raise WrongKey("not the private key that the file name states")
             self.pairs[pair.kid] = pair
-            return Key(pair.kid, float(record["made"]))
+            return SigningKey(pair.kid, float(record["made"]))
         except (ValueError, KeyError, TypeError, JoseError) as error:
             # Only the type of the error is logged: its message may contain parts of the key.
             log.error("key not read", path=str(path), cause=type(error).__name__)
@@ -93,7 +93,7 @@
         suffix = 0
         while self._path(kid := f"{int(now)}-{suffix}").exists():
             suffix += 1
-        pair, path = new_key(kid), self._path(kid)
+        pair, path = generate_key(kid), self._path(kid)
         # Written to a temporary file that has its final mode from the start, then renamed, so that no reader
         # ever sees an incomplete key.
         temporary = path.with_suffix(".new")
@@ -104,7 +104,7 @@
             os.fsync(file.fileno())
         os.rename(temporary, path)
         self.pairs[kid] = pair
-        self.ring.add(Key(kid, now))
+        self.rotation.add(SigningKey(kid, now))
         log.info("key created", kid=kid)
 
     @contextmanager
--- a/herongap/daemon/list_cache.py
+++ b/herongap/daemon/list_cache.py
@@ -16,7 +16,7 @@
 
 from herongap.daemon.quarantine import quarantine
 from herongap.errors import Unusable
-from herongap.etcd.follower import Item
+from herongap.etcd.follower import KeyEntry
 
 FORMAT = 1
 MAP_SIZE_BYTES = 256 << 20  # a list of 10,000 streamers takes about 2 MB
@@ -29,7 +29,7 @@
 
     cluster: int
     revision: int
-    items: dict[str, Item]
+    items: dict[str, KeyEntry]
 
 
 class Unreadable(Unusable):
@@ -45,7 +45,7 @@
         self.path = path
         self.env: lmdb.Environment | None = None
 
-    def load(self) -> tuple[int, int, dict[str, Item]] | None:
+    def load(self) -> tuple[int, int, dict[str, KeyEntry]] | None:
         """Return the cluster, revision and items saved last; None if there are none."""
         try:
             self._open()
@@ -56,7 +56,7 @@
             self._quarantine(error)
             return None
 
-    def save(self, cluster: int, revision: int, items: Mapping[str, Item]) -> bool:
+    def save(self, cluster: int, revision: int, items: Mapping[str, KeyEntry]) -> bool:
         """Save a list; a full or broken disk is logged and has no other effect."""
         try:
             self._open()
@@ -80,7 +80,7 @@
             os.makedirs(self.path, exist_ok=True)
             self.env = lmdb.open(self.path, map_size=MAP_SIZE_BYTES, sync=False)
 
-    def _read(self, data: bytes) -> tuple[int, int, dict[str, Item]]:
+    def _read(self, data: bytes) -> tuple[int, int, dict[str, KeyEntry]]:
         try:
             number, checksum, body = data.split(b" ", 2)
             if int(number) != FORMAT:
--- a/herongap/daemon/request_handler.py
+++ b/herongap/daemon/request_handler.py
@@ -11,9 +11,9 @@
 from herongap.daemon.session import Session
 from herongap.daemon.session_service import SessionRequest, SessionService
 from herongap.host import ViewingState
-from herongap.http import SDP, Reply, Request, problem, wait_preferred
+from herongap.http import SDP, Reply, Request, preferred_wait, problem
 from herongap.sdp import Offer
-from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created, ice_links
+from herongap.whip import OPTIONS_HEADERS, check_offer, check_patch, created_reply, ice_links
 
 CLOSE_TIMEOUT_SECONDS = 3.0
 log = structlog.get_logger()
@@ -62,7 +62,7 @@
         if isinstance(offer, Reply):
             return offer
         repeat_key, digest = self._identity(request, offer, owner)
-        patience = min(self.site.patience[package], wait_preferred(request) or math.inf)
+        patience = min(self.site.patience[package], preferred_wait(request) or math.inf)
         top = request.query.get("top", "")
         session = self.service.open_session(
             SessionRequest(
@@ -85,7 +85,7 @@
             return session
         self.sessions_by_secret[session.secret] = session
         links = ice_links(self.site.front.ice_servers)
-        return created(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
+        return created_reply(f"/sessions/{session.secret}", session.remote.tag, session.remote.answer, links)
 
     def _identity(self, request: Request, offer: Offer, owner: str | None) -> tuple[tuple, str]:
         """Return the key that identifies a repeated request, and the digest that must then be equal."""
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -24,9 +24,9 @@
 from herongap.host import Host, Recorder, ViewingState
 from herongap.http import Reply, Request, problem
 from herongap.ini import Site, read_catalogue, read_list
-from herongap.intake import Intake
 from herongap.interface import StreamerEntry
 from herongap.observe.metrics import TEXT, Figures
+from herongap.overload import OverloadGuard
 from herongap.rules import Controller
 
 LAG_CHECK_SECONDS = 0.05
@@ -55,7 +55,7 @@
         if self.journal:
             # With a journal, sessions of the previous process are still its own.
             self.name = self.journal.name
-        self.intake = Intake(site.bounds)
+        self.overload_guard = OverloadGuard(site.bounds)
         targets = {name: getattr(site.streamers, name) for name in ("whep", "whip", "dash")}
         self.port = StreamerPort(self.name, site.connect, targets, clock)
         self.port.journal = self.journal
@@ -93,7 +93,7 @@
         self.handler: RequestHandler | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
-        self._figures = Figures(self.host, self.intake, self.registry)
+        self._figures = Figures(self.host, self.overload_guard, self.registry)
         self._greenlets: list = []
         self.stopped = Event()
 
@@ -108,7 +108,9 @@
         if self.list_watcher:
             self.list_watcher.read()
         site = self.site
-        self.service = SessionService(site, self.host, self.port, self.intake, self.catalogue, self.clock)
+        self.service = SessionService(
+            site, self.host, self.port, self.overload_guard, self.catalogue, self.clock
+        )
         dash = DashService(site.dash, self.service) if site.dash else None
         if dash:
             dash.load()
@@ -119,7 +121,7 @@
         if recovery:
             recovery.restore_sessions()
         self.server = Server(
-            listen(read_address(site.front.listen)), self.handler.handle, site.bounds, self.intake
+            listen(read_address(site.front.listen)), self.handler.handle, site.bounds, self.overload_guard
         )
         if site.front.metrics:
             self.metrics = Server(listen(read_address(site.front.metrics)), self._handle_metrics, site.bounds)
@@ -135,7 +137,7 @@
 
     def stop(self) -> None:
         """Shut down in bounded time: reject new viewings, answer pending ones, end playing ones, close."""
-        self.intake.stopping = True
+        self.overload_guard.stopping = True
         if self.gossip:
             self.gossip.leave()
         deadline = self.clock() + self.site.front.stop_within
@@ -255,7 +257,7 @@
         while True:
             due = self.clock() + LAG_CHECK_SECONDS
             gevent.sleep(LAG_CHECK_SECONDS)
-            self.intake.lagged(self.clock() - due)
+            self.overload_guard.record_lag(self.clock() - due)
 
     def _flush_record(self) -> None:
         while True:
--- a/herongap/daemon/session_service.py
+++ b/herongap/daemon/session_service.py
@@ -19,10 +19,10 @@
 from herongap.daemon.session import Session
 from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, RepeatDetector, RepeatMatch
-from herongap.http import Reply, Request, bearer, problem
+from herongap.http import Reply, Request, bearer_token, problem
 from herongap.ini import Catalogue, Site
-from herongap.intake import Intake
 from herongap.interface import EndReason, ViewingRequest
+from herongap.overload import OverloadGuard
 
 MAX_REMEMBERED_REQUESTS = 100_000
 ANSWER_TIMEOUT_SECONDS = 660.0  # only guards against an error in the host, which answers within the patience
@@ -53,12 +53,12 @@
 class SessionService:
     """Authenticates requests and creates sessions for all protocol handlers.
 
-    `host` and `port` belong to one controller; `intake` limits what the process accepts.
+    `host` and `port` belong to one controller; `overload_guard` limits what the process accepts.
     """
 
-    def __init__(self, site: Site, host: Host, port: StreamerPort, intake: Intake, catalogue: Catalogue,
-                 clock=time.monotonic):  # fmt: skip
-        self.site, self.host, self.port, self.intake = site, host, port, intake
+    def __init__(self, site: Site, host: Host, port: StreamerPort, overload_guard: OverloadGuard,
+                 catalogue: Catalogue, clock=time.monotonic):  # fmt: skip
+        self.site, self.host, self.port, self.overload_guard = site, host, port, overload_guard
         self.catalogue, self.clock = catalogue, clock
         self.repeats = RepeatDetector(site.front.remember, MAX_REMEMBERED_REQUESTS)
         self.packages = {p.name: p for p in site.charter.packages}
@@ -74,7 +74,7 @@
         if not self.site.tokens:
             return None
         challenge = [("WWW-Authenticate", 'Bearer realm="herongap"')]
-        credentials = bearer(request)
+        credentials = bearer_token(request)
         if credentials is None:
             return problem("no-credentials", headers=challenge)
         found = None
@@ -97,7 +97,7 @@
 
     def authorize(self, protocol: str, title: str, request: Request) -> tuple | Reply:
         """Return the owner, package and holders for a request for a title, or the reply that rejects it."""
-        if self.intake.swamped():
+        if self.overload_guard.is_overloaded():
             return problem("overloaded", headers=[("Retry-After", "1")])
         if isinstance(owner := self.authenticate(request), Reply):
             return owner
@@ -120,7 +120,7 @@
             return problem("session-over")
         if repeat is RepeatMatch.CONFLICT:
             return problem("key-reused")
-        if refusal := self.intake.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
+        if refusal := self.overload_guard.admit(now, peer.name, self.setting_up, len(self.port.sessions)):
             kind, retry_after = refusal
             return problem(
                 kind, headers=[("Retry-After", str(math.ceil(retry_after)))] if retry_after else ()
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -21,7 +21,7 @@
 from herongap.host import Answer, Host
 from herongap.http import Reply
 from herongap.interface import EndReason, LoadReport, ViewingRequest
-from herongap.orca import HEADER, read_load
+from herongap.orca import LOAD_HEADER, read_load
 from herongap.state import Known
 from herongap.whep import write_layer
 
@@ -243,7 +243,7 @@
         self, streamer: Id, target: str, reply: Reply
     ) -> tuple[EndReason, LoadReport | None, RemoteSession | None]:
         """Read the reply to a tune-in; the end reason counts only where there is no remote session."""
-        load = read_load(reply.header(HEADER))
+        load = read_load(reply.header(LOAD_HEADER))
         if reply.status == 201:
             remote = read_remote_session(streamer, target, reply)
             return EndReason.FAULTY, load, remote
@@ -302,7 +302,7 @@
         outcome, load = EndReason.PLAYED, None
         try:
             target = self.targets["whep"].format(title="-", rung=0)
-            load = read_load(self._call(streamer, "OPTIONS", target, b"", PROBE_SECONDS).header(HEADER))
+            load = read_load(self._call(streamer, "OPTIONS", target, b"", PROBE_SECONDS).header(LOAD_HEADER))
         except TimeoutError:
             outcome = EndReason.TIMED_OUT
         except (OSError, h11.ProtocolError, KeyError):
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -146,7 +146,7 @@
     p = w.player()
     p.join()
     assert p.play(4.5) and set(p.statuses) == {200}
-    kids = {key.kid for key in w.daemon.handler.dash.keys.ring.keys}
+    kids = {key.kid for key in w.daemon.handler.dash.keys.rotation.keys}
     assert len(kids) >= 2 and sum(st.segments.fetched > 0 for st in w.streamers) == 1
 
 
