--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -145,7 +145,8 @@
             "age": age, "counts": f.counts, "bad": self.directory.bad_values,
             "drains": sorted(self.directory.drains),
             "controllers": controllers, "number": self.membership.number,
-            "holds_number": self.membership.holds_number(now), "place": self.controller_rank and list(self.controller_rank),
+            "holds_number": self.membership.holds_number(now),
+            "place": self.controller_rank and list(self.controller_rank),
             "budgets": self.budgets.status() if self.budgets else {},
         }  # fmt: skip
 
