--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A front with stand-in streamers in the test's own process, on loopback."""
+"""A daemon and stand-in streamers on loopback, in the test's own process."""
 
 import json
 import os
@@ -53,61 +53,74 @@
 KIND = Kind((100.0, 300.0, 900.0), (0.3, 0.6, 1.0), 10000.0, 50000.0, 40, warm_up=4.0, set_up=(0.001, 0.01))
 
 
-class World:
-    """One front, some streamers, and what they saw."""
+class LoopbackFleet:
+    """One daemon, some stand-in streamers, and the events that the streamers logged.
 
-    def __init__(self, folder, streamers=3, extra="", make=Controller, titles=None, kind=KIND,
+    `extra` is appended to the daemon's configuration; `make_controller` builds its deciding module.
+    """
+
+    def __init__(self, folder, streamers=3, extra="", make_controller=Controller, titles=None, kind=KIND,
                  clock=time.monotonic):  # fmt: skip
-        self.folder, self.saw = folder, []
-        self.farm = Farm(kind, Log(lambda line: self.saw.append(json.loads(line))), seed=1)
+        self.folder, self.streamer_events = folder, []
+        self.farm = Farm(kind, Log(lambda line: self.streamer_events.append(json.loads(line))), seed=1)
         self.streamers = [Streamer(self.farm, f"s{i}", "", f"r{i}") for i in range(streamers)]
-        self.lines = {}
-        for st in self.streamers:
-            self.lines[st.name] = {"id": st.name, "url": "http://{}:{}".format(*st.address)}
-        names = list(self.lines)
-        self.catalogue(titles or {"1": names, "2": names[:1]})
-        self.relist()
+        self.list_entries = {}
+        for streamer in self.streamers:
+            url = "http://{}:{}".format(*streamer.address)
+            self.list_entries[streamer.name] = {"id": streamer.name, "url": url}
+        names = list(self.list_entries)
+        self.write_catalogue(titles or {"1": names, "2": names[:1]})
+        self.write_list()
         (folder / "front.ini").write_text(INI + extra)
-        self.daemon = Daemon(read_site(folder / "front.ini"), make, clock)
+        self.daemon = Daemon(read_site(folder / "front.ini"), make_controller, clock)
         self.daemon.start()
-        self.seen_by_clients = []
+        self.client_events = []
 
-    def catalogue(self, titles) -> None:
+    def write_catalogue(self, titles) -> None:
         (self.folder / "catalogue.json").write_text(json.dumps({"titles": titles}))
 
-    def relist(self, **standings) -> None:
-        """Write the list anew, with the standing of some streamers changed."""
-        for name, standing in standings.items():
-            self.lines[name]["standing"] = standing
-        (self.folder / "list.new").write_text(json.dumps({"streamers": list(self.lines.values())}))
+    def write_list(self, **statuses) -> None:
+        """Replace the streamer list, with the status of some streamers changed."""
+        for name, status in statuses.items():
+            self.list_entries[name]["standing"] = status
+        (self.folder / "list.new").write_text(json.dumps({"streamers": list(self.list_entries.values())}))
         os.replace(self.folder / "list.new", self.folder / "streamers.json")
 
     def viewer(self, name="v", target="/whep/1", **more) -> Viewer:
-        log = Log(lambda line: self.seen_by_clients.append(json.loads(line)))
+        log = Log(lambda line: self.client_events.append(json.loads(line)))
         return Viewer(name, self.daemon.address, target, log, **more)
 
-    def order(self, do, *names, **more) -> None:
+    def command(self, do, *names, **more) -> None:
+        """Give a command to the named streamers, or to all."""
         self.farm.command({"do": do, "on": list(names) or [st.name for st in self.streamers], **more})
 
-    def count(self, what, **where) -> int:
-        """How many lines of the streamers are of that kind."""
-        return sum(w == what and all(d.get(k) == v for k, v in where.items()) for _, _, w, d in self.saw)
+    def count(self, event, **fields) -> int:
+        """Count the streamers' events of a kind that have these field values."""
+        return sum(
+            kind == event and all(data.get(k) == v for k, v in fields.items())
+            for _, _, kind, data in self.streamer_events
+        )
 
-    def playing(self) -> int:
+    def session_count(self) -> int:
+        """Count the sessions at all streamers."""
         return sum(len(st.sessions) for st in self.streamers)
 
-    def until(self, true, seconds=5.0) -> None:
-        until(true, seconds)
+    def until(self, condition, seconds=5.0) -> None:
+        """Wait until the condition is true."""
+        until(condition, seconds)
 
     def close(self) -> None:
         self.daemon.kill()
         self.farm.close()
 
 
-class Here(Actors):
-    """A rehearsal's actors in this process; `make` decides for all, `spoil` may break a controller's host."""
+class InProcessActors(Actors):
+    """A rehearsal's actors in this process.
+
+    `make_controller` builds the deciding module of every daemon; `break_daemon` may break a started one.
+    """
 
-    make, spoil = Controller, staticmethod(lambda daemon: None)
+    make_controller, break_daemon = Controller, staticmethod(lambda daemon: None)
 
     def start_farm(self):
         self.log = open(self.folder / "streamers.jsonl", "w", encoding="utf-8")  # noqa: SIM115
@@ -116,15 +129,15 @@
         self.farm = Farm(Kind(**farm_kind(self.day)), Log(self.log.write), self.seed)
         for i in range(self.day.size.streamers):
             Streamer(self.farm, f"s{i}", zone_of(i, self.day), rack_of(i, self.day))
-        return {name: st.address for name, st in self.farm.streamers.items()}
+        return {name: streamer.address for name, streamer in self.farm.streamers.items()}
 
     def order(self, what):
         self.farm.command(what)
 
     def start_front(self, number, file):
-        daemon = self.fronts[number] = Daemon(read_site(file), self.make)
+        daemon = self.fronts[number] = Daemon(read_site(file), self.make_controller)
         daemon.start()
-        self.spoil(daemon)
+        self.break_daemon(daemon)
         return daemon.address
 
     def kill_front(self, number):
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -1,11 +1,11 @@
-"""The DASH front on loopback: manifests, tokens, moves and ends, beside WHEP in one controller."""
+"""The DASH service on loopback, beside WHEP in one controller: manifests, tokens, moves and ends."""
 
 import time
 
 import gevent
 import pytest
 from helpers import closing
-from loopback import KIND, World
+from loopback import KIND, LoopbackFleet
 
 from herongap.daemon.http_connection import ClientConnection
 from herongap.host import ViewingState
@@ -27,194 +27,203 @@
 """
 
 
-class DashWorld(World):
-    """Streamers that serve segments, and players."""
+class DashFleet(LoopbackFleet):
+    """A fleet whose streamers serve segments, with players."""
 
     def __init__(self, folder, seats=0, token=4, rotate=1000, ahead=10, **more):
         super().__init__(
             folder, extra=DASH.format(seats=seats, token=token, rotate=rotate, ahead=ahead), **more
         )
-        for st in self.streamers:
-            st.segments.fronts = [self.daemon.address]
-            st.segments.segment = 0.5
+        for streamer in self.streamers:
+            streamer.segments.fronts = [self.daemon.address]
+            streamer.segments.segment = 0.5
 
     def player(self, name="p", target="/dash/1", **more) -> Player:
         return Player(name, self.daemon.address, target, lambda *a, **k: None, **more)
 
     def fetch(self, address, target, method="GET"):
-        call = ClientConnection(address, 1.0)
-        call.send(method, target)
-        reply = call.receive(5.0)
-        call.close()
+        connection = ClientConnection(address, 1.0)
+        connection.send(method, target)
+        reply = connection.receive(5.0)
+        connection.close()
         return reply
 
-    def segment(self, m, rung=0, streamer=None, base=None):
-        return self.fetch(streamer or m.streamer, f"{base or m.base}{rung}/{m.count - 1}.m4s")
+    def segment(self, manifest, rung=0, address=None, base=None):
+        """Fetch the newest segment of a manifest."""
+        path = f"{base or manifest.base}{rung}/{manifest.count - 1}.m4s"
+        return self.fetch(address or manifest.streamer, path)
 
-    def at(self, m):
-        return next(st for st in self.streamers if st.address == m.streamer)
+    def streamer_of(self, manifest):
+        return next(st for st in self.streamers if st.address == manifest.streamer)
 
-    def host_of(self, st):
-        return next(life for life in self.daemon.host.viewings.values() if life.streamer == st.name)
+    def viewing_at(self, streamer):
+        return next(
+            hosted for hosted in self.daemon.host.viewings.values() if hosted.streamer == streamer.name
+        )
 
 
 @pytest.fixture
-def world(tmp_path):
-    yield from closing(DashWorld, tmp_path)
+def start_fleet(tmp_path):
+    yield from closing(DashFleet, tmp_path)
 
 
-def test_a_player_plays_from_one_streamer_and_ends(world):
-    w = world()
-    p = w.player()
-    reply = p.join()
+def test_a_player_plays_from_one_streamer_and_ends(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    reply = player.join()
     assert reply.status == 200 and reply.header("content-type") == "application/dash+xml"
-    assert p.play(2.5) and len(p.rungs) >= 3 and p.played > 1.0
-    assert w.count("post") == 1 and w.count("joined") == 1 and w.playing() == 1
-    assert set(p.statuses) == {200}, "the manifest was refreshed all the while, and no token was refused"
-    assert p.delete() == 200 and w.playing() == 0
-    assert p.refresh().status == 410 and w.segment(p.manifest).status == 410
-
-
-def test_one_viewing_however_often_its_manifest_is_asked_for(world):
-    w = world()
-    w.order("slow", by=0.2)
-    p = w.player()
-    asked = [gevent.spawn(Player.join, p) for _ in range(4)]
-    gevent.joinall(asked)
-    assert [a.value.status for a in asked] == [200] * 4 and w.count("post") == 1
-    assert len({a.value.header("content-location") for a in asked}) == 1
-    gevent.joinall([gevent.spawn(p.refresh) for _ in range(4)])
-    assert w.count("post") == 1 and len(w.daemon.host.viewings) == 1
-    other = w.player("q")
-    assert other.join().status == 200 and w.count("post") == 2, "another session is another viewing"
-
-
-def test_a_streamer_that_dies_before_the_first_segment_is_replaced_by_the_next_manifest(world):
-    w = world()
-    p = w.player()
-    p.join()
-    first = w.at(p.manifest)
-    w.order("die", first.name)
-    assert p.play(3.0) and p.moves == 1 and p.rungs
-    assert w.at(p.manifest) is not first and w.playing() == 1
-    assert w.count("post") == 2 and len(w.daemon.host.viewings) == 1
-
-
-def test_a_cut_holds_at_the_streamer_and_reaches_the_player_by_its_manifest(world):
-    w = world()
-    p = w.player()
-    p.join()
-    old = p.manifest
+    assert player.play(2.5) and len(player.rungs) >= 3 and player.played > 1.0
+    assert fleet.count("post") == 1 and fleet.count("joined") == 1 and fleet.session_count() == 1
+    assert set(player.statuses) == {200}, "the manifest was refreshed throughout, and no token was rejected"
+    assert player.delete() == 200 and fleet.session_count() == 0
+    assert player.refresh().status == 410 and fleet.segment(player.manifest).status == 410
+
+
+def test_repeated_manifest_requests_are_one_viewing(start_fleet):
+    fleet = start_fleet()
+    fleet.command("slow", by=0.2)
+    player = fleet.player()
+    joins = [gevent.spawn(Player.join, player) for _ in range(4)]
+    gevent.joinall(joins)
+    assert [join.value.status for join in joins] == [200] * 4 and fleet.count("post") == 1
+    assert len({join.value.header("content-location") for join in joins}) == 1
+    gevent.joinall([gevent.spawn(player.refresh) for _ in range(4)])
+    assert fleet.count("post") == 1 and len(fleet.daemon.host.viewings) == 1
+    other = fleet.player("q")
+    assert other.join().status == 200 and fleet.count("post") == 2, "another session is another viewing"
+
+
+def test_a_streamer_that_dies_before_the_first_segment_is_replaced_by_the_next_manifest(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    player.join()
+    first = fleet.streamer_of(player.manifest)
+    fleet.command("die", first.name)
+    assert player.play(3.0) and player.moves == 1 and player.rungs
+    assert fleet.streamer_of(player.manifest) is not first and fleet.session_count() == 1
+    assert fleet.count("post") == 2 and len(fleet.daemon.host.viewings) == 1
+
+
+def test_a_lowered_rung_is_enforced_by_the_streamer_and_shown_in_the_next_manifest(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    player.join()
+    old = player.manifest
     assert max(old.rates) == 2
-    viewing = next(iter(w.daemon.host.viewings))
-    w.daemon.host._act(w.daemon.clock(), "rung", viewing, 0)
-    st = w.at(old)
-    w.until(lambda: next(iter(st.sessions.values())).rung == 0)
-    assert w.segment(old, rung=2).status == 403, "a player that keeps to its old manifest gets no more for it"
-    assert w.segment(old, rung=0).status == 200
-    p.refresh()
-    assert set(p.manifest.rates) == {0}
-    w.daemon.host._act(w.daemon.clock(), "rung", viewing, 1)
-    w.until(lambda: next(iter(st.sessions.values())).rung == 1)
-    assert w.segment(p.manifest, rung=1).status == 403, "a raise needs the token that comes with the manifest"
-    p.refresh()
-    assert w.segment(p.manifest, rung=1).status == 200
-
-
-def test_tokens_end_and_are_good_for_one_title_at_one_streamer(world):
-    w = world(token=2)
-    p = w.player()
-    p.join()
-    m = p.manifest
-    other = next(st for st in w.streamers if st.address != m.streamer)
-    assert w.segment(m).status == 200
-    assert w.segment(m, streamer=other.address).status == 403
-    assert w.segment(m, base=m.base.replace("/dash/1/", "/dash/2/")).status == 403
-    assert w.segment(m, base=m.base[:-3] + "x/").status == 401
-    later = lambda: time.time() + 4.5  # noqa: E731  past its end, and past what clocks may differ by
-    w.daemon.handler.dash.wall = w.at(m).segments.wall = later
-    assert w.segment(m).status == 401 and w.at(m).segments.refused["expired"] == 1
-    p.refresh()
-    assert p.manifest.base != m.base and w.segment(p.manifest).status == 200
-
-
-def test_a_key_rotated_under_a_viewing_refuses_nothing(world):
-    w = world(rotate=1.2, ahead=0.5, token=2)
-    w.daemon.handler.dash._reload_keys_if_due = (
-        w.daemon.handler.dash.load
-    )  # each manifest looks at the folder
-    p = w.player()
-    p.join()
-    assert p.play(4.5) and set(p.statuses) == {200}
-    kids = {key.kid for key in w.daemon.handler.dash.keys.rotation.keys}
-    assert len(kids) >= 2 and sum(st.segments.fetched > 0 for st in w.streamers) == 1
-
-
-def test_a_player_that_goes_silent_ends_and_may_come_back(world):
-    w = world(kind=KIND._replace(consent=0.6, join_wait=1.0))
-    p = w.player()
-    p.join()
-    w.segment(p.manifest)
-    w.until(lambda: not w.daemon.host.viewings, 4.0)
-    assert w.segment(p.manifest).status == 410
-    p.refresh()
-    assert w.segment(p.manifest).status == 200 and w.count("post") == 2
-
-
-def test_a_manifest_that_is_asked_for_during_a_move_gets_the_new_streamer(world):
-    w = world()
-    p = w.player()
-    p.join()
-    viewing = next(iter(w.daemon.host.viewings))
-    w.daemon.host.left(w.daemon.clock(), viewing)
-    assert w.daemon.host.viewings[viewing].state is ViewingState.CLOSING
-    assert p.refresh().status == 200 and w.segment(p.manifest).status == 200
-    w.until(lambda: w.playing() == 1)
-    assert len(w.daemon.host.viewings) == 1
-
-
-def test_both_fronts_claim_the_last_seats_at_one_moment_and_none_is_given_twice(world):
-    w = world(seats=3)
-    players = [w.player(f"p{i}") for i in range(6)]
-    viewers = [w.viewer(f"v{i}", "/whep/1?package=both") for i in range(6)]
-    joins = [gevent.spawn(p.join) for p in players]
+    viewing = next(iter(fleet.daemon.host.viewings))
+    fleet.daemon.host._act(fleet.daemon.clock(), "rung", viewing, 0)
+    streamer = fleet.streamer_of(old)
+    fleet.until(lambda: next(iter(streamer.sessions.values())).rung == 0)
+    assert fleet.segment(old, rung=2).status == 403, "an old manifest gives no access to a higher rung"
+    assert fleet.segment(old, rung=0).status == 200
+    player.refresh()
+    assert set(player.manifest.rates) == {0}
+    fleet.daemon.host._act(fleet.daemon.clock(), "rung", viewing, 1)
+    fleet.until(lambda: next(iter(streamer.sessions.values())).rung == 1)
+    assert fleet.segment(player.manifest, rung=1).status == 403, (
+        "a raise needs the token of the next manifest"
+    )
+    player.refresh()
+    assert fleet.segment(player.manifest, rung=1).status == 200
+
+
+def test_tokens_expire_and_are_valid_for_one_title_at_one_streamer(start_fleet):
+    fleet = start_fleet(token=2)
+    player = fleet.player()
+    player.join()
+    manifest = player.manifest
+    other = next(st for st in fleet.streamers if st.address != manifest.streamer)
+    assert fleet.segment(manifest).status == 200
+    assert fleet.segment(manifest, address=other.address).status == 403
+    assert fleet.segment(manifest, base=manifest.base.replace("/dash/1/", "/dash/2/")).status == 403
+    assert fleet.segment(manifest, base=manifest.base[:-3] + "x/").status == 401
+    later = lambda: time.time() + 4.5  # noqa: E731  past the expiry and the allowed clock difference
+    fleet.daemon.handler.dash.wall = fleet.streamer_of(manifest).segments.wall = later
+    assert (
+        fleet.segment(manifest).status == 401 and fleet.streamer_of(manifest).segments.refused["expired"] == 1
+    )
+    player.refresh()
+    assert player.manifest.base != manifest.base and fleet.segment(player.manifest).status == 200
+
+
+def test_a_key_rotation_during_a_viewing_rejects_no_token(start_fleet):
+    fleet = start_fleet(rotate=1.2, ahead=0.5, token=2)
+    # Keys are reloaded for each manifest.
+    fleet.daemon.handler.dash._reload_keys_if_due = fleet.daemon.handler.dash.load
+    player = fleet.player()
+    player.join()
+    assert player.play(4.5) and set(player.statuses) == {200}
+    kids = {key.kid for key in fleet.daemon.handler.dash.keys.rotation.keys}
+    assert len(kids) >= 2 and sum(st.segments.fetched > 0 for st in fleet.streamers) == 1
+
+
+def test_a_viewing_ends_when_its_player_falls_silent_and_the_player_may_return(start_fleet):
+    fleet = start_fleet(kind=KIND._replace(consent=0.6, join_wait=1.0))
+    player = fleet.player()
+    player.join()
+    fleet.segment(player.manifest)
+    fleet.until(lambda: not fleet.daemon.host.viewings, 4.0)
+    assert fleet.segment(player.manifest).status == 410
+    player.refresh()
+    assert fleet.segment(player.manifest).status == 200 and fleet.count("post") == 2
+
+
+def test_a_manifest_requested_during_a_move_names_the_new_streamer(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    player.join()
+    viewing = next(iter(fleet.daemon.host.viewings))
+    fleet.daemon.host.left(fleet.daemon.clock(), viewing)
+    assert fleet.daemon.host.viewings[viewing].state is ViewingState.CLOSING
+    assert player.refresh().status == 200 and fleet.segment(player.manifest).status == 200
+    fleet.until(lambda: fleet.session_count() == 1)
+    assert len(fleet.daemon.host.viewings) == 1
+
+
+def test_concurrent_dash_and_whep_requests_do_not_exceed_the_seats(start_fleet):
+    fleet = start_fleet(seats=3)
+    players = [fleet.player(f"p{i}") for i in range(6)]
+    viewers = [fleet.viewer(f"v{i}", "/whep/1?package=both") for i in range(6)]
+    joins = [gevent.spawn(player.join) for player in players]
     posts = [gevent.spawn(v.post, 3.0) for v in viewers]
     gevent.joinall([*joins, *posts])
-    told = [j.value.status for j in joins] + [t.value.status for t in posts]
-    assert sum(status in (200, 201) for status in told) == 3 and told.count(503) == 9
-    assert w.playing() == 3 and w.count("started") == 3
+    statuses = [j.value.status for j in joins] + [t.value.status for t in posts]
+    assert sum(status in (200, 201) for status in statuses) == 3 and statuses.count(503) == 9
+    assert fleet.session_count() == 3 and fleet.count("started") == 3
     assert all(j.value.header("retry-after") for j in joins if j.value.status == 503)
 
 
-def test_a_seat_that_is_freed_goes_to_a_line_that_was_blocked(world):
-    w = world(seats=1)
-    first, second = w.player("p"), w.player("q")
+def test_a_freed_seat_goes_to_a_player_that_was_blocked(start_fleet):
+    fleet = start_fleet(seats=1)
+    first, second = fleet.player("p"), fleet.player("q")
     assert first.join().status == 200 and second.join().status == 503
     first.delete()
-    assert second.join().status == 200 and w.playing() == 1, "the same line, a new viewing"
-
-
-def test_a_player_knows_before_its_front_that_a_streamer_is_cut_off_from_it(world):
-    w = world()
-    p = w.player()
-    p.join()
-    st = w.at(p.manifest)
-    w.order("cut", st.name, fronts=["herongap-"])
-    st.end(next(iter(st.sessions.values())), "front-gone", tell=False)
-    began = w.daemon.clock()
-    assert p.play(4.0) and p.moves == 1 and p.rungs
-    assert w.daemon.clock() - began < 6 and w.at(p.manifest) is not st
-
-
-def test_early_requests_of_a_player_that_is_served_move_nothing(world):
-    w = world()
-    p = w.player()
-    p.join()
-    w.segment(p.manifest)
+    assert second.join().status == 200 and fleet.session_count() == 1, (
+        "the same player session, a new viewing"
+    )
+
+
+def test_a_player_moves_before_its_controller_notices_a_cut_off_streamer(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    player.join()
+    streamer = fleet.streamer_of(player.manifest)
+    fleet.command("cut", streamer.name, fronts=["herongap-"])
+    streamer.end(next(iter(streamer.sessions.values())), "front-gone", tell=False)
+    started = fleet.daemon.clock()
+    assert player.play(4.0) and player.moves == 1 and player.rungs
+    assert fleet.daemon.clock() - started < 6 and fleet.streamer_of(player.manifest) is not streamer
+
+
+def test_early_requests_of_a_served_player_cause_no_move(start_fleet):
+    fleet = start_fleet()
+    player = fleet.player()
+    player.join()
+    fleet.segment(player.manifest)
     for _ in range(12):
-        assert p.refresh().status == 200
+        assert player.refresh().status == 200
         gevent.sleep(0.02)
-    assert w.count("post") == 1 and p.moves == 0
+    assert fleet.count("post") == 1 and player.moves == 0
 
 
 @pytest.mark.parametrize(
@@ -229,7 +238,7 @@
         ("/.well-known/nothing", "GET", 404),
     ],
 )
-def test_what_cannot_be_served_is_said(world, target, method, status):
-    w = world()
-    reply = w.fetch(w.daemon.address, target, method)
+def test_requests_that_cannot_be_served_get_their_status(start_fleet, target, method, status):
+    fleet = start_fleet()
+    reply = fleet.fetch(fleet.daemon.address, target, method)
     assert reply.status == status and b'"d"' not in reply.body
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The front on loopback sockets against stand-in streamers: the hard cases, each caused."""
+"""The daemon on loopback sockets against stand-in streamers: normal use and provoked failures."""
 
 import json
 import time
@@ -7,7 +7,7 @@
 import gevent
 import pytest
 from gevent import socket
-from loopback import World
+from loopback import LoopbackFleet
 
 from herongap.daemon.http_connection import ClientConnection
 from herongap.daemon.run import Daemon
@@ -19,21 +19,21 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    made = []
+def start_fleet(tmp_path):
+    started = []
 
-    def make(**more):
-        made.append(World(tmp_path, **more))
-        return made[-1]
+    def start(**more):
+        started.append(LoopbackFleet(tmp_path, **more))
+        return started[-1]
 
-    yield make
-    for one in made:
-        one.close()
+    yield start
+    for fleet in started:
+        fleet.close()
 
 
-def raw(world, data, wait=6.0):
-    """What the front answers to bytes as they are; b"" if it hangs up."""
-    sock = socket.create_connection(world.daemon.address, timeout=wait)
+def send_raw(fleet, data, timeout=6.0):
+    """Send bytes to the daemon and return its answer; b"" if it closes the connection."""
+    sock = socket.create_connection(fleet.daemon.address, timeout=timeout)
     try:
         for part in data if isinstance(data, list) else [data]:
             sock.sendall(part)
@@ -47,262 +47,270 @@
         sock.close()
 
 
-def test_a_whole_viewing_and_a_publisher(world):
-    w = world()
-    v = w.viewer()
-    tried = v.post(2)
-    assert tried.status == 201 and v.location.startswith("/sessions/") and w.playing() == 1
-    assert v.trickle().status == 204
-    assert v.trickle('"old"').status == 412 and problem_kind(v.trickle('"old"').body) == "stale-tag"
-    assert v.restart_ice().status == 200 and v.trickle().status == 204
+def test_viewing_and_publishing_end_to_end(start_fleet):
+    fleet = start_fleet()
+    viewer = fleet.viewer()
+    outcome = viewer.post(2)
+    assert outcome.status == 201 and viewer.location.startswith("/sessions/") and fleet.session_count() == 1
+    assert viewer.trickle().status == 204
+    assert viewer.trickle('"old"').status == 412 and problem_kind(viewer.trickle('"old"').body) == "stale-tag"
+    assert viewer.restart_ice().status == 200 and viewer.trickle().status == 204
     assert (
-        problem_kind(v.call("PATCH", [("Content-Type", "application/trickle-ice-sdpfrag")], b"x").body)
+        problem_kind(viewer.call("PATCH", [("Content-Type", "application/trickle-ice-sdpfrag")], b"x").body)
         == "tag-needed"
     )
-    assert v.call("PATCH", [("Content-Type", "text/plain"), ("If-Match", "*")], b"x").status == 415
-    assert v.delete() == 200 and w.playing() == 0 and v.delete() == 404
-    p = w.viewer("p", "/whip/1", direction="sendonly")
-    assert p.post(2).status == 201 and p.delete() == 200
-    assert w.viewer("q", "/whip/1").post(2).kind == "bad-sdp", "a publisher must not only receive"
-    assert w.viewer("u", "/whep/nope").post(2).kind == "no-such-title"
-    assert v.call("OPTIONS", target="/whep/1").header("accept-post") == "application/sdp"
-    assert v.call("GET", target="/whep/1").status == 405 and v.call("GET", target="/x").status == 404
-
-
-def test_a_late_201_is_torn_down_and_is_no_second_tune_in(world):
-    w = world()
-    w.order("slow", by=0.3)  # past the first tune-in's 0.225 s; every streamer answers late
-    tried = w.viewer().post(3)
-    assert tried.status in (502, 503) or tried.status == 201
-    w.until(lambda: w.playing() == (tried.status == 201))
-    posts = [(at, who) for at, who, what, _ in w.saw if what == "post"]
-    ends = [at for at, _, what, _ in w.saw if what in ("hung-up", "started")]
+    assert viewer.call("PATCH", [("Content-Type", "text/plain"), ("If-Match", "*")], b"x").status == 415
+    assert viewer.delete() == 200 and fleet.session_count() == 0 and viewer.delete() == 404
+    publisher = fleet.viewer("p", "/whip/1", direction="sendonly")
+    assert publisher.post(2).status == 201 and publisher.delete() == 200
+    assert fleet.viewer("q", "/whip/1").post(2).kind == "bad-sdp", "a publisher must not only receive"
+    assert fleet.viewer("u", "/whep/nope").post(2).kind == "no-such-title"
+    assert viewer.call("OPTIONS", target="/whep/1").header("accept-post") == "application/sdp"
+    assert (
+        viewer.call("GET", target="/whep/1").status == 405 and viewer.call("GET", target="/x").status == 404
+    )
+
+
+def test_a_late_201_is_torn_down_and_tune_ins_do_not_overlap(start_fleet):
+    fleet = start_fleet()
+    fleet.command("slow", by=0.3)  # longer than the first tune-in's time-out of 0.225 s, at every streamer
+    outcome = fleet.viewer().post(3)
+    assert outcome.status in (502, 503) or outcome.status == 201
+    fleet.until(lambda: fleet.session_count() == (outcome.status == 201))
+    posts = [(at, who) for at, who, what, _ in fleet.streamer_events if what == "post"]
+    ends = [at for at, _, what, _ in fleet.streamer_events if what in ("hung-up", "started")]
     assert len(posts) > 1 and all(end <= at for end, (at, _) in zip(ends, posts[1:], strict=False))
 
 
-def test_an_answer_at_the_edge_of_patience_is_one_answer(world):
-    w = world(streamers=1)
+def test_an_answer_near_the_patience_limit_is_given_once(start_fleet):
+    fleet = start_fleet(streamers=1)
     for number, delay in enumerate((0.15, 0.205, 0.22, 0.23, 0.3)):
-        w.order("heal")
-        w.order("slow", by=delay)
-        v = w.viewer(f"v{number}")
-        tried = v.post(1.2)
-        assert tried.status in (201, 502, 503) and tried.taken < 1.2
-        if tried.status == 201:
-            assert v.delete() == 200
-        w.until(lambda: w.playing() == 0)
+        fleet.command("heal")
+        fleet.command("slow", by=delay)
+        viewer = fleet.viewer(f"v{number}")
+        outcome = viewer.post(1.2)
+        assert outcome.status in (201, 502, 503) and outcome.taken < 1.2
+        if outcome.status == 201:
+            assert viewer.delete() == 200
+        fleet.until(lambda: fleet.session_count() == 0)
         gevent.sleep(0.0)
-        st = w.daemon.host.module.streamers["s0"]
-        st.set_aside_until = -1e9  # each delay is a trial of its own
-    assert not w.daemon.host.viewings
+        streamer = fleet.daemon.host.module.streamers["s0"]
+        streamer.set_aside_until = -1e9  # each delay is tested independently
+    assert not fleet.daemon.host.viewings
 
 
-def test_a_repeated_offer_is_one_viewing(world):
-    w = world()
-    w.order("slow", by=0.15)
-    v = w.viewer()
-    first = gevent.spawn(v.post, 2)
+def test_a_repeated_offer_is_one_viewing(start_fleet):
+    fleet = start_fleet()
+    fleet.command("slow", by=0.15)
+    viewer = fleet.viewer()
+    first = gevent.spawn(viewer.post, 2)
     gevent.sleep(0.03)
-    assert v.post(2, hang_up=0.01).status == 0, "a short time-out of the client's own"
-    second, third = gevent.spawn(v.post, 2), v.post(2)  # while it is set up
-    answers = [first.get(), second.get(), third, v.post(2)]  # and after its 201
+    assert viewer.post(2, hang_up=0.01).status == 0, "the client itself gives up early"
+    second, third = gevent.spawn(viewer.post, 2), viewer.post(2)  # during the set-up
+    answers = [first.get(), second.get(), third, viewer.post(2)]  # and after the 201
     assert {a.status for a in answers} == {201}
-    assert len({a.reply.header("location") for a in answers}) == 1 and w.count("post") == 1
-    assert v.delete() == 200
-    assert v.post(2).kind == "session-over" and w.count("post") == 1  # after its DELETE
-    w.order("heal")
-    w.order("fail", part=1.0)
-    b = w.viewer("b")
+    assert len({a.reply.header("location") for a in answers}) == 1 and fleet.count("post") == 1
+    assert viewer.delete() == 200
+    assert viewer.post(2).kind == "session-over" and fleet.count("post") == 1  # after the DELETE
+    fleet.command("heal")
+    fleet.command("fail", part=1.0)
+    b = fleet.viewer("b")
     assert b.post(2).status in (502, 503)
-    w.order("heal")
-    w.until(lambda: b.post(2).status == 201, seconds=20)  # after its 503 it comes again
+    fleet.command("heal")
+    fleet.until(lambda: b.post(2).status == 201, seconds=20)  # after a 503 the same offer is accepted again
 
 
-def test_an_idempotency_key_names_the_viewing(world):
-    w = world()
+def test_an_idempotency_key_identifies_the_viewing(start_fleet):
+    fleet = start_fleet()
     key = [("Idempotency-Key", '"k1"')]
-    a = w.viewer("a", headers=key)
+    a = fleet.viewer("a", headers=key)
     assert a.post(2).status == 201
-    assert a.post(2).status == 201 and w.count("post") == 1
-    assert w.viewer("b", headers=key).post(2).kind == "key-reused"
-
-
-def test_a_viewer_gone_mid_set_up_lingers_then_is_called_off(world):
-    w = world()
-    w.order("hang")
-    v = w.viewer()
-    assert v.post(2, hang_up=0.05).status == 0
-    w.until(lambda: w.count("hung-up") == w.count("post") > 0 and not w.daemon.host.viewings)
-    w.order("heal")
-    w.order("slow", by=0.1)
-    for st in w.daemon.host.module.streamers.values():
-        st.set_aside_until = -1e9
-    v = w.viewer("v2")
-    assert v.post(2, hang_up=0.05).status == 0
-    w.until(lambda: w.playing() == 1)  # it started within the linger, with nobody there
-    w.until(lambda: w.playing() == 0 and not w.daemon.host.viewings)  # and is taken down after it
-
-
-def test_a_lost_answer_is_repeated_or_not_by_the_packages_terms(world):
-    w = world()
-    w.order("lose")
-    assert w.viewer("p", "/whip/1", direction="sendonly").post(2).kind == "aborted"
-    assert w.count("post") == 1, "it may have run: a second would publish twice"
-    w.order("lose", "s0", "s1")
-    assert w.viewer("v").post(2).status in (201, 502, 503) and w.count("post") > 2
-
-
-def test_refusals_and_faults_of_streamers(world):
-    w = world()
-    w.order("fail", part=1.0)
-    tried = w.viewer("a").post(2)
-    assert tried.status == 503 and tried.reply.header("retry-after")
-    w.order("heal")
-    for st in w.daemon.host.module.streamers.values():
-        st.set_aside_until = -1e9
-    w.order("die", "s0")
-    v = w.viewer("b", "/whep/2")
-    assert v.post(2).status == 503  # its one holder is gone
-    assert w.viewer("c").post(2).status == 201
-
-
-def test_a_streamer_that_dies_or_falls_silent_ends_its_viewings(world):
-    w = world(streamers=1)
-    v = w.viewer()
-    assert v.post(2).status == 201
-    w.until(lambda: w.daemon.port.subscriptions)
+    assert a.post(2).status == 201 and fleet.count("post") == 1
+    assert fleet.viewer("b", headers=key).post(2).kind == "key-reused"
+
+
+def test_a_viewer_that_disconnects_during_set_up_is_called_off_after_the_linger_time(start_fleet):
+    fleet = start_fleet()
+    fleet.command("hang")
+    viewer = fleet.viewer()
+    assert viewer.post(2, hang_up=0.05).status == 0
+    fleet.until(lambda: fleet.count("hung-up") == fleet.count("post") > 0 and not fleet.daemon.host.viewings)
+    fleet.command("heal")
+    fleet.command("slow", by=0.1)
+    for streamer in fleet.daemon.host.module.streamers.values():
+        streamer.set_aside_until = -1e9
+    viewer = fleet.viewer("v2")
+    assert viewer.post(2, hang_up=0.05).status == 0
+    fleet.until(lambda: fleet.session_count() == 1)  # it starts within the linger time, without its viewer
+    # Afterwards it is torn down.
+    fleet.until(lambda: fleet.session_count() == 0 and not fleet.daemon.host.viewings)
+
+
+def test_a_lost_answer_is_retried_only_if_the_package_allows_it(start_fleet):
+    fleet = start_fleet()
+    fleet.command("lose")
+    assert fleet.viewer("p", "/whip/1", direction="sendonly").post(2).kind == "aborted"
+    assert fleet.count("post") == 1, "it may have run: a retry could publish twice"
+    fleet.command("lose", "s0", "s1")
+    assert fleet.viewer("v").post(2).status in (201, 502, 503) and fleet.count("post") > 2
+
+
+def test_rejections_and_failures_of_streamers(start_fleet):
+    fleet = start_fleet()
+    fleet.command("fail", part=1.0)
+    outcome = fleet.viewer("a").post(2)
+    assert outcome.status == 503 and outcome.reply.header("retry-after")
+    fleet.command("heal")
+    for streamer in fleet.daemon.host.module.streamers.values():
+        streamer.set_aside_until = -1e9
+    fleet.command("die", "s0")
+    viewer = fleet.viewer("b", "/whep/2")
+    assert viewer.post(2).status == 503  # the only holder of its title is gone
+    assert fleet.viewer("c").post(2).status == 201
+
+
+def test_viewings_end_with_a_streamer_that_dies(start_fleet):
+    fleet = start_fleet(streamers=1)
+    viewer = fleet.viewer()
+    assert viewer.post(2).status == 201
+    fleet.until(lambda: fleet.daemon.port.subscriptions)
     gevent.sleep(0.1)
-    w.order("die")
-    w.until(lambda: not w.daemon.host.viewings)
-    assert v.delete() == 404
-    w.order("start")
-    w.lines["s0"]["started"] = time.time()
-    w.relist()
-    w.until(lambda: w.viewer("b").post(2).status == 201, seconds=20)
-
-
-def test_a_drain_is_kept_and_a_list_that_empties_and_returns(world):
-    w = world()
-    assert w.viewer("a").post(2).status == 201
-    w.relist(s0="leaving", s1="leaving")
-    w.until(lambda: w.daemon.host.statuses["s1"].name == "LEAVING")
-    before = w.count("post")
-    assert [w.viewer(f"d{i}").post(2).status for i in range(6)] == [201] * 6
-    assert {who for _, who, what, _ in w.saw if what == "post"} >= {"s2"}
+    fleet.command("die")
+    fleet.until(lambda: not fleet.daemon.host.viewings)
+    assert viewer.delete() == 404
+    fleet.command("start")
+    fleet.list_entries["s0"]["started"] = time.time()
+    fleet.write_list()
+    fleet.until(lambda: fleet.viewer("b").post(2).status == 201, seconds=20)
+
+
+def test_a_drain_is_respected_and_an_emptied_list_recovers(start_fleet):
+    fleet = start_fleet()
+    assert fleet.viewer("a").post(2).status == 201
+    fleet.write_list(s0="leaving", s1="leaving")
+    fleet.until(lambda: fleet.daemon.host.statuses["s1"].name == "LEAVING")
+    before = fleet.count("post")
+    assert [fleet.viewer(f"d{i}").post(2).status for i in range(6)] == [201] * 6
+    assert {who for _, who, what, _ in fleet.streamer_events if what == "post"} >= {"s2"}
     assert (
-        w.count("post")
+        fleet.count("post")
         == before + 6
-        == before + len([1 for _, who, what, _ in w.saw[-200:] if what == "post" and who == "s2"][-6:])
+        == before
+        + len([1 for _, who, what, _ in fleet.streamer_events[-200:] if what == "post" and who == "s2"][-6:])
     )
-    good = (w.folder / "streamers.json").read_bytes()
-    (w.folder / "streamers.json").write_text('{"streamers": []}')
-    w.until(lambda: not w.daemon.host.statuses)
-    assert w.viewer("e").post(2).status == 503
-    (w.folder / "streamers.json").write_text('{"streamers": [{"id": "broken"')
+    good = (fleet.folder / "streamers.json").read_bytes()
+    (fleet.folder / "streamers.json").write_text('{"streamers": []}')
+    fleet.until(lambda: not fleet.daemon.host.statuses)
+    assert fleet.viewer("e").post(2).status == 503
+    (fleet.folder / "streamers.json").write_text('{"streamers": [{"id": "broken"')
     gevent.sleep(0.1)
-    (w.folder / "streamers.json").write_bytes(good)
-    w.until(lambda: w.viewer("f").post(2).status == 201)
+    (fleet.folder / "streamers.json").write_bytes(good)
+    fleet.until(lambda: fleet.viewer("f").post(2).status == 201)
 
 
-def test_two_controllers_do_not_push_a_cold_streamer_over(tmp_path):
+def test_two_controllers_do_not_overload_a_cold_streamer(tmp_path):
     folders = [tmp_path / "0", tmp_path / "1"]
     for folder in folders:
         folder.mkdir()
-    w = World(folders[0], streamers=1, extra="")
+    fleet = LoopbackFleet(folders[0], streamers=1, extra="")
     try:
         ini = (folders[0] / "front.ini").read_text().replace("listen", "controllers = 2\nlisten")
         ini = ini.replace("std = 400", "std = 40")
         for number, folder in enumerate(folders):
-            w.lines["s0"]["started"] = time.time()
-            (folder / "streamers.json").write_text(json.dumps({"streamers": list(w.lines.values())}))
+            fleet.list_entries["s0"]["started"] = time.time()
+            (folder / "streamers.json").write_text(
+                json.dumps({"streamers": list(fleet.list_entries.values())})
+            )
             (folder / "catalogue.json").write_text('{"titles": {"1": ["s0"]}}')
             (folder / "front.ini").write_text(
                 ini.replace("controllers", f"number = {number}\ncontrollers", 1)
             )
-        w.daemon.kill()
-        w.order("start")
+        fleet.daemon.kill()
+        fleet.command("start")
         daemons = [Daemon(read_site(folder / "front.ini")) for folder in folders]
         for daemon in daemons:
             daemon.start()
         posting = []
         for i in range(120):
-            w.daemon = daemons[i % 2]
-            posting.append(gevent.spawn(w.viewer(f"v{i}").post, 2))
+            fleet.daemon = daemons[i % 2]
+            posting.append(gevent.spawn(fleet.viewer(f"v{i}").post, 2))
             gevent.sleep(0.01)
         statuses = [g.get().status for g in posting]
-        assert 201 in statuses and set(statuses) <= {201, 503} and not w.count("fell")
+        assert 201 in statuses and set(statuses) <= {201, 503} and not fleet.count("fell")
         daemons[0].kill()
     finally:
-        w.close()
+        fleet.close()
 
 
-def test_seats_and_floors_hold_on_the_sockets(world):
-    w = world()
-    posts = [gevent.spawn(w.viewer(f"v{i}", "/whep/1?package=priority").post, 2) for i in range(6)]
+def test_seats_and_rung_floors_are_enforced(start_fleet):
+    fleet = start_fleet()
+    posts = [gevent.spawn(fleet.viewer(f"v{i}", "/whep/1?package=priority").post, 2) for i in range(6)]
     statuses = sorted(g.get().status for g in posts)
-    assert statuses == [201, 201, 503, 503, 503, 503] and w.playing() == 2
-    assert all(s.rung >= 1 for st in w.streamers for s in st.sessions.values())
-    assert w.viewer("x", "/whep/1?package=nope").post(2).kind == "not-allowed"
+    assert statuses == [201, 201, 503, 503, 503, 503] and fleet.session_count() == 2
+    assert all(s.rung >= 1 for st in fleet.streamers for s in st.sessions.values())
+    assert fleet.viewer("x", "/whep/1?package=nope").post(2).kind == "not-allowed"
 
 
-def test_metrics_are_served_apart_from_viewers(world):
-    w = world()
-    w.daemon.kill()
-    ini = w.folder / "front.ini"
+def test_metrics_are_served_at_an_address_of_their_own(start_fleet):
+    fleet = start_fleet()
+    fleet.daemon.kill()
+    ini = fleet.folder / "front.ini"
     ini.write_text(ini.read_text().replace("[front]", "[front]\nmetrics = 127.0.0.1:0"))
-    w.daemon = Daemon(read_site(ini))
-    w.daemon.start()
-    assert w.viewer().post(2).status == 201
-    text = w.viewer("m").call("GET", target="/metrics").body
+    fleet.daemon = Daemon(read_site(ini))
+    fleet.daemon.start()
+    assert fleet.viewer().post(2).status == 201
+    text = fleet.viewer("m").call("GET", target="/metrics").body
     assert b"no-such-page" in text, "viewers see no metrics"
-    scraper = w.viewer("s")
-    scraper.front = w.daemon.metrics.address
+    scraper = fleet.viewer("s")
+    scraper.front = fleet.daemon.metrics.address
     text = scraper.call("GET", target="/metrics").body.decode()
     assert (
         'herongap_answers_total{verdict="plays"} 1.0' in text and 'herongap_held{state="playing"} 1.0' in text
     )
 
 
-def test_tokens_map_to_members_and_packages(world):
-    w = world(extra="[token desk]\nsecret = letmein-please\nmember = desk\npackages = standard\n")
-    assert w.viewer("a").post(2).kind == "no-credentials"
-    assert w.viewer("b", headers=[("Authorization", "Bearer wrong")]).post(2).kind == "bad-credentials"
+def test_tokens_map_to_members_and_packages(start_fleet):
+    fleet = start_fleet(extra="[token desk]\nsecret = letmein-please\nmember = desk\npackages = standard\n")
+    assert fleet.viewer("a").post(2).kind == "no-credentials"
+    assert fleet.viewer("b", headers=[("Authorization", "Bearer wrong")]).post(2).kind == "bad-credentials"
     mine = [("Authorization", "Bearer letmein-please")]
-    v = w.viewer("c", headers=mine)
-    assert v.post(2).status == 201
-    assert w.viewer("d", "/whep/1?package=priority", headers=mine).post(2).kind == "not-allowed"
-    v.headers = []
-    assert v.delete() == 401
-    v.headers = mine
-    assert v.delete() == 200
-
-
-def test_hostile_bytes_get_a_clear_error_and_the_others_are_served(world):
-    w = world(extra="[limits]\nheader_seconds = 0.4\nbody_seconds = 0.4\nbody = 20000\nidle_seconds = 1\n")
+    viewer = fleet.viewer("c", headers=mine)
+    assert viewer.post(2).status == 201
+    assert fleet.viewer("d", "/whep/1?package=priority", headers=mine).post(2).kind == "not-allowed"
+    viewer.headers = []
+    assert viewer.delete() == 401
+    viewer.headers = mine
+    assert viewer.delete() == 200
+
+
+def test_malformed_requests_get_an_error_and_others_are_served(start_fleet):
+    fleet = start_fleet(
+        extra="[limits]\nheader_seconds = 0.4\nbody_seconds = 0.4\nbody = 20000\nidle_seconds = 1\n"
+    )
     head = b"POST /whep/1 HTTP/1.1\r\nHost: x\r\nContent-Type: application/sdp\r\n"
-    slow = gevent.spawn(raw, w, [])
-    sock = socket.create_connection(w.daemon.address)
-    sock.sendall(b"POST /whep/1 HT")  # and then a byte now and again
-    assert b" 413 " in raw(w, head + b"Content-Length: 100000000\r\n\r\n")
+    slow = gevent.spawn(send_raw, fleet, [])
+    sock = socket.create_connection(fleet.daemon.address)
+    sock.sendall(b"POST /whep/1 HT")  # followed by a byte from time to time
+    assert b" 413 " in send_raw(fleet, head + b"Content-Length: 100000000\r\n\r\n")
     big = b"%x\r\n%s\r\n" % (15000, b"x" * 15000)
-    assert b" 413 " in raw(w, head + b"Transfer-Encoding: chunked\r\n\r\n" + big * 2)
-    assert b" 431 " in raw(w, b"GET / HTTP/1.1\r\n" + b"X-Y: z\r\n" * 5000)
-    assert b" 400 " in raw(w, b"\x00\x01\x02\r\n\r\n")
-    assert b" 400 " in raw(w, head + b"Content-Length: twelve\r\n\r\n")
-    assert b" 408 " in raw(w, head + b"Content-Length: 50\r\n\r\nhalf")
-    v = w.viewer()
+    assert b" 413 " in send_raw(fleet, head + b"Transfer-Encoding: chunked\r\n\r\n" + big * 2)
+    assert b" 431 " in send_raw(fleet, b"GET / HTTP/1.1\r\n" + b"X-Y: z\r\n" * 5000)
+    assert b" 400 " in send_raw(fleet, b"\x00\x01\x02\r\n\r\n")
+    assert b" 400 " in send_raw(fleet, head + b"Content-Length: twelve\r\n\r\n")
+    assert b" 408 " in send_raw(fleet, head + b"Content-Length: 50\r\n\r\nhalf")
+    viewer = fleet.viewer()
     for body in (
         b"",
         b"v=0\r\n",
         b"\xff\xfe",
-        v.offer.replace("a=ice-ufrag", "a=x").encode(),
+        viewer.offer.replace("a=ice-ufrag", "a=x").encode(),
         b"v=0\r\no=- 1 1\r\ns=-\r\n",
-        v.offer.replace("actpass", "passive").encode(),
-        v.offer.replace("recvonly", "sendonly").encode(),
+        viewer.offer.replace("actpass", "passive").encode(),
+        viewer.offer.replace("recvonly", "sendonly").encode(),
     ):
-        reply = v.call("POST", [("Content-Type", "application/sdp")], body, "/whep/1")
+        reply = viewer.call("POST", [("Content-Type", "application/sdp")], body, "/whep/1")
         assert reply.status == 400 and problem_kind(reply.body) == "bad-sdp", body
-    assert v.call("POST", [("Content-Type", "text/html")], b"x", "/whep/1").status == 415
+    assert viewer.call("POST", [("Content-Type", "text/html")], b"x", "/whep/1").status == 415
     for _ in range(8):
         try:
             sock.sendall(b"T")
@@ -311,85 +319,86 @@
         gevent.sleep(0.1)
     assert b" 408 " in sock.recv(4096)
     slow.kill()
-    assert v.post(2).status == 201 and w.playing() == 1
+    assert viewer.post(2).status == 201 and fleet.session_count() == 1
 
 
-def test_an_overloaded_front_says_so_at_once_and_keeps_what_it_holds(world):
-    w = world(extra="[limits]\nsetting_up = 3\nconnections = 40\n")
-    held = w.viewer("held")
+def test_an_overloaded_controller_rejects_at_once_and_keeps_its_viewings(start_fleet):
+    fleet = start_fleet(extra="[limits]\nsetting_up = 3\nconnections = 40\n")
+    held = fleet.viewer("held")
     assert held.post(2).status == 201
-    w.order("slow", by=0.15)
-    posts = [gevent.spawn(w.viewer(f"v{i}").post, 2) for i in range(12)]
-    tried = [g.get() for g in posts]
-    refused = [t for t in tried if t.kind == "overloaded"]
+    fleet.command("slow", by=0.15)
+    posts = [gevent.spawn(fleet.viewer(f"v{i}").post, 2) for i in range(12)]
+    outcomes = [g.get() for g in posts]
+    refused = [t for t in outcomes if t.kind == "overloaded"]
     assert len(refused) == 9 and all(t.reply.header("retry-after") and t.taken < 0.15 for t in refused)
-    idle = [socket.create_connection(w.daemon.address) for _ in range(60)]
+    idle = [socket.create_connection(fleet.daemon.address) for _ in range(60)]
     gevent.sleep(0.05)
-    assert w.viewer("more").post(1).kind == "overloaded"
+    assert fleet.viewer("more").post(1).kind == "overloaded"
     for sock in idle:
         sock.close()
-    w.until(lambda: w.daemon.overload_guard.open_connections < 30)
+    fleet.until(lambda: fleet.daemon.overload_guard.open_connections < 30)
     assert held.delete() == 200
 
 
-def test_an_orderly_stop_answers_all_that_was_taken(world):
-    w = world()
-    w.order("slow", by=0.12)
-    v = w.viewer("v")
-    posting = gevent.spawn(v.post, 2)
-    w.until(lambda: w.count("post") == 1)
-    stopping = gevent.spawn(w.daemon.stop)
+def test_a_graceful_stop_answers_all_accepted_requests(start_fleet):
+    fleet = start_fleet()
+    fleet.command("slow", by=0.12)
+    viewer = fleet.viewer("v")
+    posting = gevent.spawn(viewer.post, 2)
+    fleet.until(lambda: fleet.count("post") == 1)
+    stopping = gevent.spawn(fleet.daemon.stop)
     gevent.sleep(0.01)
-    assert w.viewer("late").post(1).kind == "stopping"
+    assert fleet.viewer("late").post(1).kind == "stopping"
     assert posting.get().status == 201
     stopping.get(timeout=4)
-    assert not w.daemon.host.viewings and w.playing() == 0
+    assert not fleet.daemon.host.viewings and fleet.session_count() == 0
     with pytest.raises(OSError):
-        ClientConnection(w.daemon.address, 0.2)
+        ClientConnection(fleet.daemon.address, 0.2)
 
 
-def test_a_killed_front_ends_what_it_held_and_answers_nothing_twice(world):
-    w = world()
-    v = w.viewer()
-    assert v.post(2).status == 201
-    w.until(lambda: any(st.streams for st in w.streamers))
-    w.daemon.kill()
-    w.until(lambda: w.playing() == 0, seconds=8)  # its streamers see its event streams go
-    assert w.count("ended", reason="front-gone") == 1
+def test_streamers_end_the_sessions_of_a_killed_controller(start_fleet):
+    fleet = start_fleet()
+    viewer = fleet.viewer()
+    assert viewer.post(2).status == 201
+    fleet.until(lambda: any(st.streams for st in fleet.streamers))
+    fleet.daemon.kill()
+    # The streamers notice that the controller's event streams closed.
+    fleet.until(lambda: fleet.session_count() == 0, seconds=8)
+    assert fleet.count("ended", reason="front-gone") == 1
 
 
-def test_rungs_are_set_by_layers_and_loads_come_back(world):
-    w = world(streamers=1)
-    viewers = [w.viewer(f"v{i}") for i in range(10)]
+def test_rungs_are_set_by_layer_requests_and_loads_are_reported(start_fleet):
+    fleet = start_fleet(streamers=1)
+    viewers = [fleet.viewer(f"v{i}") for i in range(10)]
     assert [v.post(2).status for v in viewers] == [201] * 10
-    asked = w.streamers[0].machine.asked
-    w.order("sag", to=0.3)
-    w.until(lambda: w.count("rung") > 0 and w.streamers[0].machine.asked < asked, seconds=10)
-    host = w.daemon.host
-    w.until(
+    asked = fleet.streamers[0].machine.asked
+    fleet.command("sag", to=0.3)
+    fleet.until(lambda: fleet.count("rung") > 0 and fleet.streamers[0].machine.asked < asked, seconds=10)
+    host = fleet.daemon.host
+    fleet.until(
         lambda: (
             sorted(host.module.viewings[v].rung for v in host.viewings)
-            == sorted(s.rung for s in w.streamers[0].sessions.values())
+            == sorted(s.rung for s in fleet.streamers[0].sessions.values())
         )
     )
     rung, playing = viewers[0].restart_ice(), [life.state for life in host.viewings.values()]
     assert rung.status == 200 and set(playing) == {ViewingState.PLAYING}
 
 
-def test_the_library_alone_gives_what_the_daemon_gave(world):
-    w = world()
+def test_a_replay_of_the_record_makes_the_same_decisions(start_fleet):
+    fleet = start_fleet()
     for i in range(20):
-        v = w.viewer(f"v{i}", f"/whep/{1 + i % 2}")
-        if v.post(2).status == 201 and i % 3:
-            v.delete()
-    w.daemon.stop()
-    (path,) = Path(w.folder).glob("*.record")
+        viewer = fleet.viewer(f"v{i}", f"/whep/{1 + i % 2}")
+        if viewer.post(2).status == 201 and i % 3:
+            viewer.delete()
+    fleet.daemon.stop()
+    (path,) = Path(fleet.folder).glob("*.record")
     with open(path, "rb") as lines:
         inputs, decisions, found = replay(lines)
     assert found is None and decisions > 40
 
 
-def test_offers_of_the_stand_ins_are_what_the_front_checks():
+def test_offers_of_the_stand_ins_pass_the_offer_check():
     from herongap.sdp import Endpoint, read_offer
 
     me = Endpoint("abcd", "p" * 24, "AA:BB", "127.0.0.1", 9, 77)
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,7 +1,7 @@
 """The checker proves itself: a small day is kept, and a controller broken in each of six ways is caught."""
 
 import pytest
-from loopback import Here
+from loopback import InProcessActors
 
 from herongap.fleet.baselines import with_parts
 from herongap.fleet.checker import check
@@ -82,8 +82,12 @@
 
 def rehearse(folder, make=Controller, spoil=None, text=DAY + TROUBLES):
     (folder / "day.ini").write_text(text)
-    here = type("Spoilt", (Here,), {"make": make, **({"spoil": staticmethod(spoil)} if spoil else {})})
-    return play(read_day(folder / "day.ini"), folder, 3, actors=here)
+    actors = type(
+        "Broken",
+        (InProcessActors,),
+        {"make_controller": make, **({"break_daemon": staticmethod(spoil)} if spoil else {})},
+    )
+    return play(read_day(folder / "day.ini"), folder, 3, actors=actors)
 
 
 def broken_rules(outcome):
--- a/tests/test_stopped.py
+++ b/tests/test_stopped.py
@@ -11,7 +11,7 @@
 import gevent
 import pytest
 from helpers import closing
-from loopback import World as Front
+from loopback import LoopbackFleet as Front
 from node_world import World as Platform
 from plain_peers import LONG_DEADLINES, PlainPeer, hold_all_set_ups, send_immediately
 
@@ -80,15 +80,15 @@
             len(port.subscriptions) == 2 and all(f.liveness.last_heard for f in port.subscriptions.values())
         )
     )
-    w.order("silent")  # their event streams stay open and send nothing for now
+    w.command("silent")  # their event streams stay open and send nothing for now
     gevent.sleep(1.2)  # until each liveness check finds a stream silent
     clock.suspended += SUSPENSION_SECONDS
     gevent.sleep(1.2)
-    assert len(w.daemon.host.viewings) == 6 and w.playing() == 6
+    assert len(w.daemon.host.viewings) == 6 and w.session_count() == 6
     assert all(streamer.set_aside_until < clock() for streamer in state.streamers.values()), (
         "no streamer is set aside for the controller's own suspension"
     )
-    w.order("heal")
+    w.command("heal")
     assert w.viewer("b").post(2).status == 201
 
 
