--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -34,8 +34,13 @@
                  clock: Callable, commit: Callable, network_errors: tuple,
                  live_claims: Callable[[], Mapping[str, int] | None],
                  on_room_change: Callable[[str, int], None] = lambda name, room: None):  # fmt: skip
-        self.clock, self.commit, self.network_errors = clock, commit, network_errors
-        self.live_claims, self.on_room_change = live_claims, on_room_change
+        self.clock, self.commit, self.network_errors, self.live_claims, self.on_room_change = (
+            clock,
+            commit,
+            network_errors,
+            live_claims,
+            on_room_change,
+        )
         self.shares = {t.name: Shares(t, str(number), ttl, seed) for t in terms}
         self.usage = Tally(self.shares)
         self.keys = {name: f"{prefix}budgets/{name}" for name in self.shares}
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -216,7 +216,7 @@
         generation, start = self.follower.start_watch()
         headers = self.client.headers(address)
         stream = self._stream = ClientConnection(read_address(address), self.settings.connect)
-        frames = LineSplitter()
+        splitter = LineSplitter()
         try:
             stream.send("POST", "/v3/watch", headers, m.watch_body(self.settings.prefix, start))
             head = stream.head(time.monotonic() + self.settings.time_out)
@@ -235,7 +235,7 @@
                     return
                 if chunk is None:
                     raise ConnectionResetError("watch stream ended")
-                for line in frames.feed(chunk):
+                for line in splitter.feed(chunk):
                     if not self._process_watch_reply(
                         generation, address, m.decode_stream_line(line, m.WatchResponse)
                     ):
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -30,8 +30,8 @@
         host, port = read_address(part.advertise) if part.advertise else self.sock.getsockname()
         terms = Terms(every=part.every, patience=part.patience)
         me = Word(number, incarnation, 0, Standing.ALIVE, host, port, zone)
-        self.gossip = Gossip(clock(), me, part.fleet, terms, seed)
-        self.gossip.known([read_address(seed) for seed in part.seeds])
+        self.protocol = Gossip(clock(), me, part.fleet, terms, seed)
+        self.protocol.known([read_address(seed) for seed in part.seeds])
         self.reported_members: dict[int, tuple[int, Standing]] = {}
         self.reported_changes = -1  # the membership's change counter when it was last reported
 
@@ -39,10 +39,10 @@
         """Send probes and updates whenever they are due; never returns."""
         while True:
             try:
-                self.send(self.gossip.tick(self.clock()))
+                self.send(self.protocol.tick(self.clock()))
             except Exception:
                 log.exception("internal error in the membership protocol; it continues")
-            gevent.sleep(max(0.005, self.gossip.due - self.clock()))
+            gevent.sleep(max(0.005, self.protocol.due - self.clock()))
 
     def listen(self) -> None:
         """Process incoming datagrams until the socket is closed."""
@@ -52,7 +52,7 @@
             except OSError:
                 return
             try:
-                self.send(self.gossip.heard(self.clock(), data, sender))
+                self.send(self.protocol.heard(self.clock(), data, sender))
             except Exception:
                 log.exception("internal error while processing a datagram; it is dropped", peer=sender[0])
 
@@ -65,10 +65,10 @@
         self._report_changes()
 
     def _report_changes(self) -> None:
-        if self.reported_changes == self.gossip.book.changes:
+        if self.reported_changes == self.protocol.book.changes:
             return
-        self.reported_changes = self.gossip.book.changes
-        now = {n: (x.life, Standing(x.standing)) for n, x in self.gossip.book.words.items()}
+        self.reported_changes = self.protocol.book.changes
+        now = {n: (x.life, Standing(x.standing)) for n, x in self.protocol.book.words.items()}
         if now == self.reported_members:
             return
         for number in now.keys() | self.reported_members.keys():
@@ -82,7 +82,7 @@
 
     def status(self) -> dict:
         """Return the members and their status, for operators."""
-        g, now = self.gossip, self.clock()
+        g, now = self.protocol, self.clock()
         members = {
             str(n): {"life": x.life, "standing": Standing(x.standing).name.lower(), "zone": x.zone,
                      "at": f"{x.host}:{x.port}"}
@@ -95,7 +95,7 @@
 
     def leave(self) -> None:
         """Announce an orderly shutdown to some members."""
-        self.send(self.gossip.leave(self.clock()))
+        self.send(self.protocol.leave(self.clock()))
 
     def close(self) -> None:
         """Close the socket, which also ends `listen`."""
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -207,7 +207,7 @@
     def _report_rank(self) -> None:
         rank, count = self.registry_rank
         if self.gossip:
-            count = self.gossip.gossip.count(count, rank is not None)
+            count = self.gossip.protocol.count(count, rank is not None)
         if self.registry and (rank, count) != self.reported_rank:
             self.reported_rank = rank, count
             self.host.counted(self.clock(), rank, count)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -66,8 +66,10 @@
         self.streamers = [Streamer(self.farm, f"s{i}", "", f"r{i}") for i in range(streamers)]
         self.list_entries = {}
         for streamer in self.streamers:
-            url = "http://{}:{}".format(*streamer.address)
-            self.list_entries[streamer.name] = {"id": streamer.name, "url": url}
+            self.list_entries[streamer.name] = {
+                "id": streamer.name,
+                "url": "http://{}:{}".format(*streamer.address),
+            }
         names = list(self.list_entries)
         self.write_catalogue(titles or {"1": names, "2": names[:1]})
         self.write_list()
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -50,8 +50,9 @@
 
     def segment(self, manifest, rung=0, address=None, base=None):
         """Fetch the newest segment of a manifest."""
-        path = f"{base or manifest.base}{rung}/{manifest.count - 1}.m4s"
-        return self.fetch(address or manifest.streamer, path)
+        return self.fetch(
+            address or manifest.streamer, f"{base or manifest.base}{rung}/{manifest.count - 1}.m4s"
+        )
 
     def streamer_of(self, manifest):
         return next(st for st in self.streamers if st.address == manifest.streamer)
