--- a/herongap/cli/token.py
+++ b/herongap/cli/token.py
@@ -51,8 +51,8 @@
     if jwks:
         click.echo(json.dumps(held.jwks(now)))
         return
-    signing = held.ring.signing_key(now)
-    for key in held.ring.published_keys(now):
+    signing = held.rotation.signing_key(now)
+    for key in held.rotation.published_keys(now):
         use = (
             "signs"
             if key == signing
--- a/herongap/fleet/worlds.py
+++ b/herongap/fleet/worlds.py
@@ -4,9 +4,8 @@
 cut, repeated, fragmented or overtaken by a compaction at any moment. `leasing` is a lease server and two
 controllers that want one number. What moves in them is `herongap.etcd.PrefixFollower` and `Membership`
 themselves: each step makes the machine from its state, calls it, and takes the state off again. `settling`
-is a store with one document and two writers, `herongap.accord.SharedDocument` themselves. `broken` puts a machine
-with
-a mistake in its place, to see that the mistake is found.
+is a store with one document and two writers, `herongap.accord.SharedDocument` themselves. `broken` puts a
+machine with a mistake in its place, to see that the mistake is found.
 """
 
 from collections.abc import Iterator
