--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -24,7 +24,7 @@
 from herongap.daemon.run import Daemon
 from herongap.dash import TokenClaims, TokenVerifier, generate_key, mint, public_jwks
 from herongap.http import Reply
-from herongap.ini import read_site
+from herongap.ini import read_site_config
 from herongap.overload import ProcessLimits
 from herongap.standins import Farm, Streamer, Viewer
 from herongap.standins.farm import Log
@@ -63,7 +63,7 @@
             json.dumps({"titles": {"1": [st.name for st in self.streamers]}})
         )
         (near / "front.ini").write_text(INI.format(token=token, rotate=rotate, ahead=ahead))
-        self.daemon = Daemon(read_site(near / "front.ini"))
+        self.daemon = Daemon(read_site_config(near / "front.ini"))
         self.daemon.start()
         for st in self.streamers:
             st.segments.fronts, st.segments.segment = [self.daemon.address], 0.5
@@ -165,7 +165,7 @@
 
 
 def main(args: list[str]) -> None:
-    observe.set_up("critical", "json", "-")
+    observe.configure_logging("critical", "json", "-")
     name, *rest = args or [""]
     if name not in ("rates", "joins", "rotation"):
         sys.exit(__doc__)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
 
 from herongap.fleet.day import Clients, Day, Machines, Share_, Size, front_ini
 from herongap.host import Host
-from herongap.ini import parse_site
+from herongap.ini import parse_site_config
 from herongap.interface import LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 
 REQUESTS, RATE, TELL = 300, 20.0, 2.0
@@ -52,7 +52,7 @@
     }
     size = Size(streamers=streamers, controllers=4, racks=max(2, streamers // 8))
     day = Day(size, Clients(), machines, packages, {})
-    return parse_site(front_ini(day, 0, 1, Path("/tmp")), Path("/tmp/decisions.ini")), size.racks
+    return parse_site_config(front_ini(day, 0, 1, Path("/tmp")), Path("/tmp/decisions.ini")), size.racks
 
 
 class Cost:
@@ -62,7 +62,7 @@
         made, racks = site(streamers)
         self.port, self.now, self.count, self.told = Port(), 0.0, 0, 0.0
         self.names = [f"s{i}" for i in range(streamers)]
-        self.host = Host(0.0, 1, made.charter, self.port)
+        self.host = Host(0.0, 1, made.deployment, self.port)
         lines = [
             StreamerEntry(n, f"z{i % 2}", "std", n, n, f"r{i % racks}", StreamerStatus.ACTIVE, 1.0, None)
             for i, n in enumerate(self.names)
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -28,8 +28,8 @@
 from herongap.daemon.etcd import StreamerRegistry
 from herongap.daemon.run import Daemon
 from herongap.fleet import worlds
-from herongap.ini import read_site
-from herongap.ini.parts import Etcd as Terms
+from herongap.ini import read_site_config
+from herongap.ini.sections import EtcdSection as Terms
 from herongap.rehearsal.stage import PREFIX
 from herongap.standins import Farm, Streamer, Viewer
 from herongap.standins.etcd import Etcd, fill, put
@@ -84,7 +84,7 @@
         near = Path(folder)
         (near / "catalogue.json").write_text(json.dumps({"titles": {"1": list(values)}}))
         (near / "front.ini").write_text(INI.format(endpoints=", ".join(etcd.addresses)))
-        daemon = Daemon(read_site(near / "front.ini"))
+        daemon = Daemon(read_site_config(near / "front.ini"))
         daemon.start()
         wait(lambda: daemon.registry.state == "following")
 
@@ -318,7 +318,7 @@
 
 
 def main(args: list[str]) -> int:
-    observe.set_up("critical", "json", "-")
+    observe.configure_logging("critical", "json", "-")
     name, *rest = args or [""]
     match name:
         case "drains":
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -14,12 +14,12 @@
 from herongap.daemon.listen import listen
 from herongap.daemon.session import read_remote_session
 from herongap.http import SDP, Reply, problem
-from herongap.ini import read_list, read_site
+from herongap.ini import read_list, read_site_config
 from herongap.whip import check_offer, created_reply
 
 
 def main(file: str) -> None:
-    site = read_site(Path(file))
+    site = read_site_config(Path(file))
     _, addresses = read_list(Path(site.streamers.list).read_bytes(), 0.0)
     pools = {address: ConnectionPool(address, 1.0) for address in addresses.values()}
     turn, numbers, sessions = itertools.cycle(pools), itertools.count(1), {}
@@ -50,7 +50,7 @@
         except (OSError, h11.ProtocolError, KeyError, IndexError):
             return problem("aborted")
 
-    server = Server(listen(("127.0.0.1", 0)), handle, site.bounds)
+    server = Server(listen(("127.0.0.1", 0)), handle, site.limits)
     print("listening http://{}:{}".format(*server.address), flush=True)
     with suppress(KeyboardInterrupt):
         Event().wait()
--- a/herongap/accord/document.py
+++ b/herongap/accord/document.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 VERSION = 1
 
 
-class InvalidDocument(Unusable):
+class InvalidDocumentError(UnusableInputError):
     """A document of the store that cannot be parsed, or that has another format version."""
 
     advice = "find out which process wrote it; the document is not used until it can be parsed"
@@ -49,13 +49,13 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "StoredDocument":
-        """Parse a document; raises InvalidDocument, a ValueError, with the reason."""
+        """Parse a document; raises InvalidDocumentError, a ValueError, with the reason."""
         try:
             document = msgspec.json.decode(data, type=cls)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            raise InvalidDocument(str(error)) from error
+            raise InvalidDocumentError(str(error)) from error
         if document.v != VERSION:
-            raise InvalidDocument(f"unsupported version {document.v}; expected {VERSION}")
+            raise InvalidDocumentError(f"unsupported version {document.v}; expected {VERSION}")
         return document
 
 
--- a/herongap/accord/shares.py
+++ b/herongap/accord/shares.py
@@ -29,7 +29,7 @@
 from herongap.accord.document import (
     Commit,
     CommitOutcome,
-    InvalidDocument,
+    InvalidDocumentError,
     SharedDocument,
     StoredDocument,
     encode_document,
@@ -122,19 +122,19 @@
 
 
 def parse_allocation(body: object) -> Allocation:
-    """The allocation in the body of a document; raises InvalidDocument, a ValueError."""
+    """The allocation in the body of a document; raises InvalidDocumentError, a ValueError."""
     try:
         allotments = {str(c): Allotment(*map(int, a)) for c, a in body["parts"].items()}
         allocation = Allocation(int(body["whole"]), bool(body["open"]), int(body["count"]), allotments)
     except (KeyError, TypeError, AttributeError) as error:
-        raise InvalidDocument(f"not an allocation: {error!r}") from error
+        raise InvalidDocumentError(f"not an allocation: {error!r}") from error
     if allocation.limit < 0 or any(a.amount < 0 or a.want < 0 for a in allotments.values()):
-        raise InvalidDocument("not an allocation: negative amount")
+        raise InvalidDocumentError("not an allocation: negative amount")
     return allocation
 
 
 def read_allocation(data: bytes) -> Allocation:
-    """The allocation in a document's bytes; raises InvalidDocument, a ValueError."""
+    """The allocation in a document's bytes; raises InvalidDocumentError, a ValueError."""
     return parse_allocation(StoredDocument.decode(data).body)
 
 
@@ -142,7 +142,7 @@
     """The document with another limit, or a new document if there is none.
 
     A new allocation is open at once if it is `unused`, otherwise the usage is counted first. Raises
-    InvalidDocument, a ValueError.
+    InvalidDocumentError, a ValueError.
     """
     if data is None:
         return encode_document(Allocation(limit, unused, 1, {}).to_body())
--- a/herongap/benchlink/adapter.py
+++ b/herongap/benchlink/adapter.py
@@ -3,7 +3,7 @@
 import json
 
 from herongap.benchlink import codec
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.interface import EndReason
 from herongap.platform.deployment import deployment_config
 from herongap.rules import Controller
@@ -11,7 +11,7 @@
 LIST_KINDS = {"Partial": "changes", "Complete": "whole", "Persisted": "remembered", "Error": "failed"}
 
 
-class MalformedInputError(Unusable):
+class MalformedInputError(UnusableInputError):
     """Input that cannot be parsed."""
 
     advice = "see what writes to this process; the adapter ends"
--- a/herongap/cli/budgets.py
+++ b/herongap/cli/budgets.py
@@ -115,7 +115,7 @@
 
     store = Store(file)
     key = store.key("budgets", name)
-    if name not in store.site.wholes:
+    if name not in store.site.fleet_budgets:
         raise click.ClickException(f"{file}: no [budget {name}]")
     for _ in range(20):
         reply = store.call("/v3/kv/range", m.range_body(key, b""), m.RangeResponse)
--- a/herongap/cli/refused.py
+++ b/herongap/cli/errors.py
@@ -5,7 +5,7 @@
 from herongap.errors import HerongapError
 
 
-def refused(fault: Exception, before: str = "") -> click.ClickException:
+def command_failure(fault: Exception, before: str = "") -> click.ClickException:
     """The end of a command: 1 where what was given cannot be used, 69 where something outside is not as it
     has to be, 70 where it is a fault of ours.
     """
--- a/herongap/cli/experiment.py
+++ b/herongap/cli/experiment.py
@@ -8,8 +8,8 @@
 
 import click
 
-from herongap.cli.refused import refused
-from herongap.ini import Faults
+from herongap.cli.errors import command_failure
+from herongap.ini import ConfigFileError
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 STRAY = 0.007  # docs/results/front.md, "Beside loopback": the five days of the first table
@@ -30,8 +30,8 @@
 
     try:
         return read_experiment(file), Store(store or file.with_suffix(".results"))
-    except (Faults, ValueError) as fault:
-        raise refused(fault) from fault
+    except (ConfigFileError, ValueError) as fault:
+        raise command_failure(fault) from fault
 
 
 def _bounds(plan, arms) -> list:
@@ -113,8 +113,8 @@
     plan = Plan(day=str(days[0]), least=max(2, pairs), most=max(2, pairs))
     try:
         results = {arm.name: [job(arm, seed) for seed in range(1, plan.most + 1)] for arm in arms}
-    except Faults as fault:
-        raise refused(fault) from fault
+    except ConfigFileError as fault:
+        raise command_failure(fault) from fault
     click.echo("\n".join(pages.text(pages.table(Experiment(plan, arms), results), [])))
 
 
@@ -153,8 +153,8 @@
                 click.echo(
                     f"seed {seed}: service {told.mean:.3f}, one play {told.low:.3f} to {told.high:.3f}"
                 )
-    except (Faults, ValueError) as fault:
-        raise refused(fault) from fault
+    except (ConfigFileError, ValueError) as fault:
+        raise command_failure(fault) from fault
 
 
 @experiment.command()
@@ -171,7 +171,7 @@
         with open(record, "rb") as lines:
             found = fit_record(lines)
     except (RecordError, ValueError) as fault:
-        raise refused(fault, f"{record}: ") from fault
+        raise command_failure(fault, f"{record}: ") from fault
     click.echo(
         f"; {found.viewings} viewings in {found.seconds:.1f} s, "
         f"deviation of gaps over their mean {found.burstiness:.2f}"
--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -8,10 +8,10 @@
 import click
 import msgspec
 
-from herongap.cli.refused import refused
+from herongap.cli.errors import command_failure
 from herongap.cli.serve import load
-from herongap.ini import Faults
-from herongap.ini.files import List
+from herongap.ini import ConfigFileError
+from herongap.ini.files import StreamerListFile
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 JSON = click.option("--json", "as_json", is_flag=True, help="JSON on standard output.")
@@ -226,9 +226,9 @@
     from herongap.etcd.keys import InvalidValueError, decode_value, update_value
 
     try:
-        entries = msgspec.json.decode(source.read_bytes(), type=List).streamers
-    except (msgspec.MsgspecError, Faults) as fault:
-        raise refused(fault, f"{source}: ") from fault
+        entries = msgspec.json.decode(source.read_bytes(), type=StreamerListFile).streamers
+    except (msgspec.MsgspecError, ConfigFileError) as fault:
+        raise command_failure(fault, f"{source}: ") from fault
     store = Store(file)
     _, found = store.read()
     puts: list[tuple[str, bytes]] = []
--- a/herongap/cli/rehearse.py
+++ b/herongap/cli/rehearse.py
@@ -9,7 +9,7 @@
 import click
 
 from herongap.host import replay
-from herongap.ini import Faults
+from herongap.ini import ConfigFileError
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -44,7 +44,7 @@
         raise click.UsageError(f"--policy is one of {', '.join(POLICIES)}")
     try:
         day = rehearsal.from_bench(json.loads(bench_day.read_text())) if bench_day else read_day(file)
-    except (Faults, ValueError) as fault:
+    except (ConfigFileError, ValueError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
     near = Path(tempfile.mkdtemp(prefix="herongap-rehearsal-")) if folder is None else folder
--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -7,19 +7,19 @@
 import click
 
 from herongap import observe
-from herongap.cli.refused import refused
+from herongap.cli.errors import command_failure
 from herongap.daemon.run import Daemon, run_until_signal
-from herongap.ini import Faults, Site, read_catalogue, read_list, read_site
+from herongap.ini import ConfigFileError, SiteConfig, read_catalogue, read_list, read_site_config
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
-def load(file: Path) -> Site:
+def load(file: Path) -> SiteConfig:
     """The site of a file, or the program's end with all that is wrong with it."""
     try:
-        return read_site(file)
-    except Faults as faults:
-        raise refused(faults) from faults
+        return read_site_config(file)
+    except ConfigFileError as faults:
+        raise command_failure(faults) from faults
 
 
 @click.command()
@@ -30,12 +30,12 @@
     The first signal takes no new viewings, answers all that were taken and ends; a second one ends at once.
     """
     site = load(file)
-    observe.set_up(site.front.log_level, site.front.log_format, site.front.log_to)
+    observe.configure_logging(site.front.log_level, site.front.log_format, site.front.log_to)
     try:
         daemon = Daemon(site)
         daemon.start()
     except (OSError, ValueError) as fault:
-        raise refused(fault, "cannot start: ") from fault
+        raise command_failure(fault, "cannot start: ") from fault
     run_until_signal(daemon)
 
 
@@ -57,7 +57,7 @@
             faults.append(f"{path}: {fault}")
     if faults:
         raise click.ClickException("\n".join(faults))
-    click.echo(f"{file}: fine, {len(site.charter.packages)} packages, {len(site.charter.ladder)} rungs")
+    click.echo(f"{file}: fine, {len(site.deployment.packages)} packages, {len(site.deployment.ladder)} rungs")
 
 
 DEMO = """
@@ -113,7 +113,7 @@
     from herongap.standins import Farm, Kind, Streamer
     from herongap.standins.farm import Log
 
-    observe.set_up(log_level, "console", "-")
+    observe.configure_logging(log_level, "console", "-")
     with tempfile.TemporaryDirectory(prefix="herongap-demo-") as folder:
         near = Path(folder)
         kind = Kind((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
@@ -134,7 +134,7 @@
             daemon = Daemon(load(near / "front.ini"))
             daemon.start()
         except OSError as fault:
-            raise refused(fault, "cannot start: ") from fault
+            raise command_failure(fault, "cannot start: ") from fault
         for st in all_of_them:
             st.segments.fronts = [daemon.address]
         run_until_signal(daemon)
--- a/herongap/cli/token.py
+++ b/herongap/cli/token.py
@@ -7,7 +7,7 @@
 
 import click
 
-from herongap.cli.refused import refused
+from herongap.cli.errors import command_failure
 
 KEYS = click.option(
     "--keys",
@@ -35,7 +35,7 @@
         keys = KeyStore(folder, rotate, ahead, longest)
         keys.load(time.time())
     except (OSError, ValueError) as fault:
-        raise refused(fault) from fault
+        raise command_failure(fault) from fault
     return keys
 
 
@@ -101,7 +101,7 @@
     try:
         grant = TokenVerifier(streamer, json.loads(jwks.read_text())).verify(time.time(), word, title)
     except ValueError as fault:
-        raise refused(fault, f"{jwks}: ") from fault
+        raise command_failure(fault, f"{jwks}: ") from fault
     except TokenError as why:
         click.echo(f"refused: {why.kind}" + (f" {why.kid!r}" if why.kid else ""), err=True)
         sys.exit(1)
--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -9,13 +9,13 @@
 from herongap.accord import BudgetKind, BudgetShare, BudgetTerms, Commit, UsageCounter
 from herongap.etcd import messages as m
 from herongap.etcd.follower import KeyEntry
-from herongap.ini.parts import WholeTerms
+from herongap.ini.sections import FleetBudgetSection
 
 POLL_SECONDS = 0.05  # between two checks of what is due; events are handled sooner
 log = structlog.get_logger()
 
 
-def budget_terms(name: str, section: WholeTerms) -> BudgetTerms:
+def budget_terms(name: str, section: FleetBudgetSection) -> BudgetTerms:
     """Convert a budget's section of the configuration file."""
     w = section
     keep = w.without_store == "keep"
--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -31,7 +31,7 @@
 )
 from herongap.host import ViewingState
 from herongap.http import Reply, Request, problem
-from herongap.ini.parts import DashPart
+from herongap.ini.sections import DashSection
 from herongap.interface import EndReason
 
 JSON = "application/json"
@@ -67,13 +67,13 @@
 class DashService:
     """Serves /dash/TITLE, /manifests/SECRET and the key set."""
 
-    def __init__(self, settings: DashPart, service: SessionService, wall: Callable[[], float] = time.time):
+    def __init__(self, settings: DashSection, service: SessionService, wall: Callable[[], float] = time.time):
         self.settings, self.service, self.wall = settings, service, wall
         self.keys = KeyStore(settings.keys, settings.rotate, settings.ahead, settings.token)
         self.players: OrderedDict[str, PlayerSession] = OrderedDict()
         self.players_by_key: dict[tuple, PlayerSession] = {}
         self._loaded_at = 0.0
-        self._videos = tuple(Video(rate) for rate in service.site.charter.ladder)
+        self._videos = tuple(Video(rate) for rate in service.site.deployment.ladder)
         self._update = min(settings.update, settings.token / 2)
 
     def load(self) -> None:
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -26,7 +26,7 @@
 )
 from herongap.etcd import messages as m
 from herongap.etcd.keys import update_value
-from herongap.ini.parts import Etcd
+from herongap.ini.sections import EtcdSection
 
 RANK_CHECK_SECONDS = (
     0.1  # between two checks whether the lease still holds; the lease's CLOCK_MARGIN_SECONDS covers it
@@ -40,7 +40,7 @@
 class EtcdClient:
     """Unary requests to the members of one cluster, with an authentication token if one is configured."""
 
-    def __init__(self, settings: Etcd, name: str):
+    def __init__(self, settings: EtcdSection, name: str):
         self.settings, self.name, self.token = settings, name, ""
         self.pools: dict[str, ConnectionPool] = {}
 
@@ -100,8 +100,9 @@
     budget's room for new work changes.
     """
 
-    def __init__(self, settings: Etcd, number: int, expected: int, seed: int, name: str, clock: Callable,
-                 on_list_change: Callable, on_rank_change: Callable, budgets: tuple[BudgetTerms, ...] = (),
+    def __init__(self, settings: EtcdSection, number: int, expected: int, seed: int, name: str,
+                 clock: Callable, on_list_change: Callable, on_rank_change: Callable,
+                 budgets: tuple[BudgetTerms, ...] = (),
                  on_room_change: Callable = lambda name, room: None):  # fmt: skip
         self.settings, self.name, self.clock = settings, name, clock
         self.on_list_change, self.on_rank_change = on_list_change, on_rank_change
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -9,7 +9,7 @@
 
 from herongap.daemon.listen import Address, read_address
 from herongap.gossip import Gossip, GossipConfig, MemberRecord, MemberStatus
-from herongap.ini.parts import GossipPart
+from herongap.ini.sections import GossipSection
 
 log = structlog.get_logger()
 READ_SIZE_BYTES = 65536
@@ -22,7 +22,7 @@
     when a member joined, left or changed its status.
     """
 
-    def __init__(self, part: GossipPart, number: int, incarnation: int, zone: str, seed: int,
+    def __init__(self, part: GossipSection, number: int, incarnation: int, zone: str, seed: int,
                  clock: Callable[[], float], on_change: Callable[[], None] = lambda: None):  # fmt: skip
         self.clock, self.on_change = clock, on_change
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -17,13 +17,13 @@
 from joserfc.jwk import OKPKey
 
 from herongap.dash import KeyRotation, SigningKey, TokenClaims, generate_key, mint, public_jwks
-from herongap.errors import HerongapError, Unusable
+from herongap.errors import HerongapError, UnusableInputError
 
 LOCK_TIMEOUT_SECONDS = 5.0
 log = structlog.get_logger()
 
 
-class WrongKey(Unusable):
+class WrongKey(UnusableInputError):  # noqa: N818  # the class name is logged as the cause
     """A file that does not hold the key that its name states."""
 
     advice = "remove the file, or put the key back that belongs under this name"
--- a/herongap/daemon/list_cache.py
+++ b/herongap/daemon/list_cache.py
@@ -15,7 +15,7 @@
 import structlog
 
 from herongap.daemon.quarantine import quarantine
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.etcd.follower import KeyEntry
 
 FORMAT = 1
@@ -32,7 +32,7 @@
     items: dict[str, KeyEntry]
 
 
-class Unreadable(Unusable):
+class UnreadableRecordError(UnusableInputError):
     """The stored record is damaged or has an unknown format."""
 
     advice = "remove the file; the list is read from the store"
@@ -52,7 +52,7 @@
             with self.env.begin() as txn:
                 data = txn.get(KEY)
             return None if data is None else self._read(bytes(data))
-        except (lmdb.Error, Unreadable, OSError) as error:
+        except (lmdb.Error, UnreadableRecordError, OSError) as error:
             self._quarantine(error)
             return None
 
@@ -84,12 +84,14 @@
         try:
             number, checksum, body = data.split(b" ", 2)
             if int(number) != FORMAT:
-                raise Unreadable(f"format {int(number)}, expected {FORMAT}")
+                raise UnreadableRecordError(f"format {int(number)}, expected {FORMAT}")
             if int(checksum, 16) != zlib.crc32(body):
-                raise Unreadable("torn record: the checksum does not match")
+                raise UnreadableRecordError("torn record: the checksum does not match")
             cached = msgspec.msgpack.decode(body, type=CachedList)
         except (ValueError, msgspec.MsgspecError) as error:
-            raise error if isinstance(error, Unreadable) else Unreadable(repr(error)) from error
+            raise (
+                error if isinstance(error, UnreadableRecordError) else UnreadableRecordError(repr(error))
+            ) from error
         return cached.cluster, cached.revision, cached.items
 
     def _quarantine(self, error: Exception) -> None:
--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -23,9 +23,9 @@
 from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, Recorder, ViewingState
 from herongap.http import Reply, Request, problem
-from herongap.ini import Site, read_catalogue, read_list
+from herongap.ini import SiteConfig, read_catalogue, read_list
 from herongap.interface import StreamerEntry
-from herongap.observe.metrics import TEXT, Figures
+from herongap.observe.metrics import TEXT, MetricsCollector
 from herongap.overload import OverloadGuard
 from herongap.rules import Controller
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        site: Site,
+        site: SiteConfig,
         make_controller: Callable = Controller,
         clock: Callable[[], float] = time.monotonic,
     ):
@@ -55,13 +55,13 @@
         if self.journal:
             # With a journal, sessions of the previous process are still its own.
             self.name = self.journal.name
-        self.overload_guard = OverloadGuard(site.bounds)
+        self.overload_guard = OverloadGuard(site.limits)
         targets = {name: getattr(site.streamers, name) for name in ("whep", "whip", "dash")}
         self.port = StreamerPort(self.name, site.connect, targets, clock)
         self.port.journal = self.journal
         self.record = self._open_record()
         recorder = Recorder(self.record.write) if self.record else None
-        self.host = Host(clock(), site.front.seed, site.charter, self.port, recorder, make_controller)
+        self.host = Host(clock(), site.front.seed, site.deployment, self.port, recorder, make_controller)
         self.port.host = self.host
         self.catalogue = None
         self.list_watcher = self.registry = None
@@ -69,7 +69,7 @@
             self.list_watcher = FileWatcher(site.streamers.list, self._on_list_file, site.streamers.look)
         else:
             f = site.front
-            budgets = tuple(budget_terms(name, section) for name, section in site.wholes.items())
+            budgets = tuple(budget_terms(name, section) for name, section in site.fleet_budgets.items())
             callbacks = self._on_list_change, self._on_registry_rank, budgets, self._on_room_change
             self.registry = StreamerRegistry(
                 site.etcd, f.number, f.controllers, f.seed, self.name, clock, *callbacks
@@ -93,7 +93,7 @@
         self.handler: RequestHandler | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
-        self._figures = Figures(self.host, self.overload_guard, self.registry)
+        self._figures = MetricsCollector(self.host, self.overload_guard, self.registry)
         self._greenlets: list = []
         self.stopped = Event()
 
@@ -121,10 +121,10 @@
         if recovery:
             recovery.restore_sessions()
         self.server = Server(
-            listen(read_address(site.front.listen)), self.handler.handle, site.bounds, self.overload_guard
+            listen(read_address(site.front.listen)), self.handler.handle, site.limits, self.overload_guard
         )
         if site.front.metrics:
-            self.metrics = Server(listen(read_address(site.front.metrics)), self._handle_metrics, site.bounds)
+            self.metrics = Server(listen(read_address(site.front.metrics)), self._handle_metrics, site.limits)
         runs = (self.port.run, self.catalogue_watcher.run, self._flush_record, self._measure_lag)
         self._greenlets = [gevent.spawn(run) for run in runs]
         # With etcd, the controller listens before it has a list: it uses the cached one, or blocks viewings.
--- a/herongap/daemon/session_service.py
+++ b/herongap/daemon/session_service.py
@@ -20,7 +20,7 @@
 from herongap.daemon.streamers import StreamerPort
 from herongap.host import Host, RepeatDetector, RepeatMatch
 from herongap.http import Reply, Request, bearer_token, problem
-from herongap.ini import Catalogue, Site
+from herongap.ini import Catalogue, SiteConfig
 from herongap.interface import EndReason, ViewingRequest
 from herongap.overload import OverloadGuard
 
@@ -56,12 +56,12 @@
     `host` and `port` belong to one controller; `overload_guard` limits what the process accepts.
     """
 
-    def __init__(self, site: Site, host: Host, port: StreamerPort, overload_guard: OverloadGuard,
+    def __init__(self, site: SiteConfig, host: Host, port: StreamerPort, overload_guard: OverloadGuard,
                  catalogue: Catalogue, clock=time.monotonic):  # fmt: skip
         self.site, self.host, self.port, self.overload_guard = site, host, port, overload_guard
         self.catalogue, self.clock = catalogue, clock
         self.repeats = RepeatDetector(site.front.remember, MAX_REMEMBERED_REQUESTS)
-        self.packages = {p.name: p for p in site.charter.packages}
+        self.packages = {p.name: p for p in site.deployment.packages}
         self.setting_up = 0
         self.on_session_closed: list[Callable[[Session], None]] = []
         self._ids = count(1)
--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 CLOCK_SKEW_SECONDS = 2.0  # by which the clocks of fronts and streamers may differ
 
 
-class RotationTimesError(Unusable):
+class RotationTimesError(UnusableInputError):
     """The rotation times contradict each other."""
 
     advice = "set [dash] ahead under rotate, and above 0"
--- a/herongap/dash/mpd.py
+++ b/herongap/dash/mpd.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 from xml.etree import ElementTree as Xml
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 MPD_MEDIA_TYPE = "application/dash+xml"
 NAMESPACE = "urn:mpeg:dash:schema:mpd:2011"
@@ -18,7 +18,7 @@
 TIME_SHIFT_SECONDS = 30.0  # of a live title that can be fetched
 
 
-class NoSuchRungsError(Unusable):
+class NoSuchRungsError(UnusableInputError):
     """A manifest was requested for rungs that the asset does not have."""
 
     advice = "check [ladder] and the packages against the catalogue; otherwise report a bug"
--- a/herongap/dash/tokens.py
+++ b/herongap/dash/tokens.py
@@ -13,7 +13,7 @@
 from joserfc.jwk import KeySet, OKPKey
 
 from herongap.dash.key_rotation import CLOCK_SKEW_SECONDS
-from herongap.errors import HerongapError, Unusable
+from herongap.errors import HerongapError, UnusableInputError
 
 ALGORITHM = "Ed25519"
 TOKEN_TYPE = "herongap-session+jwt"  # RFC 8725, 3.11: rejects tokens issued for another purpose
@@ -21,7 +21,7 @@
 MAX_TOKEN_CHARS = 2048  # longer ones are rejected unread
 
 
-class InvalidJwksError(Unusable):
+class InvalidJwksError(UnusableInputError):
     """A JWK set cannot be used."""
 
     advice = "see the front that publishes it; the previous keys stay in use"
--- a/herongap/errors.py
+++ b/herongap/errors.py
@@ -1,12 +1,12 @@
-"""The root of all error types: what was seen, and what an operator can do about it.
+"""The base classes of all error types: each error carries a cause and advice for the operator.
 
-Each package has its own types below these. One that stands for something given to us is an `Unusable`; one
-that stands for a call that our own code should never have made is a `Misuse`.
+Each package derives its own types from these: errors about data from outside from `UnusableInputError`,
+errors about a wrong call within the program from `InternalMisuseError`.
 """
 
 
 class HerongapError(Exception):
-    """`cause` is what was seen, `advice` what an operator can do, `exit_code` the command line's."""
+    """An error with the `cause`, `advice` for the operator, and the `exit_code` of the command line."""
 
     advice = "see the log lines before this one"
     exit_code = 69
@@ -18,15 +18,15 @@
             self.advice = advice
 
 
-class Unusable(HerongapError, ValueError):
-    """Something that was given, read or received cannot be used; it is left out, nothing else changes."""
+class UnusableInputError(HerongapError, ValueError):
+    """Something given, read or received is invalid; it is ignored and nothing else changes."""
 
-    advice = "correct what is named, or see who sent it"
+    advice = "correct the named input, or find out who sent it"
     exit_code = 1
 
 
-class Misuse(HerongapError, RuntimeError):
-    """A call that this program should not have made."""
+class InternalMisuseError(HerongapError, RuntimeError):
+    """A call that violates the contract of the called function, which is an error of this program."""
 
-    advice = "a fault of ours: keep the log and the record, and tell the maintainers"
+    advice = "internal error: keep the log and the record, and contact the maintainers"
     exit_code = 70
--- a/herongap/etcd/keys.py
+++ b/herongap/etcd/keys.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.http import parse_url
 
 FORMAT_VERSION = 1
 
 
-class InvalidValueError(Unusable):
+class InvalidValueError(UnusableInputError):
     """The value of a key cannot be used."""
 
     advice = "correct the value under that key; it is ignored until then"
--- a/herongap/etcd/messages.py
+++ b/herongap/etcd/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from herongap.errors import HerongapError, Unusable
+from herongap.errors import HerongapError, UnusableInputError
 
 GRPC_NOT_FOUND = 5  # a lease that has expired
 GRPC_OUT_OF_RANGE = 11  # a revision that has been compacted, or does not exist yet
@@ -32,7 +32,7 @@
         return self.code == GRPC_OUT_OF_RANGE and "compacted" in str(self)
 
 
-class MalformedReplyError(Unusable):
+class MalformedReplyError(UnusableInputError):
     """A response that does not conform to the API."""
 
     advice = "see which member answered, and which proxies lie between"
--- a/herongap/fleet/arms.py
+++ b/herongap/fleet/arms.py
@@ -13,25 +13,25 @@
 
 from pydantic import Field, ValidationError
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.fleet import baselines
 from herongap.fleet.checker import check
 from herongap.fleet.day import Day, read_day
 from herongap.fleet.figures import Outcome, report
 from herongap.fleet.model import Model
-from herongap.ini import Faults
-from herongap.ini.parts import Part
+from herongap.ini import ConfigFileError
+from herongap.ini.sections import Section
 
 PACKAGE = Path(__file__).resolve().parent.parent
 
 
-class BadArm(Unusable):
+class InvalidArmError(UnusableInputError):
     """An [arm NAME] that cannot be played."""
 
     advice = "correct the key that is named in the experiment file"
 
 
-class Plan(Part):
+class Plan(Section):
     """The [experiment] section."""
 
     day: str
@@ -44,7 +44,7 @@
     bound_days: Annotated[int, Field(ge=0)] = 2
 
 
-class ArmPart(Part):
+class ArmPart(Section):
     """An [arm NAME] section. `set` changes named values of the module, NAME=VALUE, separated by commas."""
 
     policy: str = "herongap"
@@ -91,13 +91,13 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Raises Faults with all that is wrong; paths in the file are taken from its folder."""
+    """Raises ConfigFileError with all that is wrong; paths in the file are taken from its folder."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     try:
         parser.read_string(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as fault:
-        raise Faults(f"{path}: {fault}") from fault
+        raise ConfigFileError(f"{path}: {fault}") from fault
     faults: list[str] = []
     plan, parts = None, {}
     for section in parser.sections():
@@ -126,13 +126,13 @@
         except (ValueError, OSError) as fault:
             faults.append(f"{path}: [arm {name}]: {fault}")
     if faults:
-        raise Faults("\n".join(faults))
+        raise ConfigFileError("\n".join(faults))
     return Experiment(plan, tuple(arms))
 
 
 def _arm(name: str, part: ArmPart, plan: Plan, near: Path) -> Arm:
     if part.policy not in baselines.POLICIES:
-        raise BadArm(f"policy = {part.policy}: allowed are {', '.join(baselines.POLICIES)}")
+        raise InvalidArmError(f"policy = {part.policy}: allowed are {', '.join(baselines.POLICIES)}")
     module = near / part.module if part.module else PACKAGE / "rules"
     if (module / "herongap").is_dir():
         # An installed or unpacked version of the package.
@@ -151,7 +151,7 @@
     """The arm's deciding class, from a copy of its module that nothing else uses."""
     name, folder = f"herongap_arm_{arm.digest()}", Path(arm.module)
     if not (folder / "__init__.py").is_file():
-        raise BadArm(f"module = {arm.module}: not a folder of a module")
+        raise InvalidArmError(f"module = {arm.module}: not a folder of a module")
     spec = importlib.util.spec_from_file_location(
         name, folder / "__init__.py", submodule_search_locations=[arm.module]
     )
@@ -166,7 +166,7 @@
         # A value may be named in more than the file that it stands in.
         having = [part for part in parts if isinstance(getattr(part, key, None), int | float)]
         if not having:
-            raise BadArm(f"set {key}: the module has no such value")
+            raise InvalidArmError(f"set {key}: the module has no such value")
         for part in having:
             setattr(part, key, type(getattr(part, key))(value))
     return baselines.deciding(arm.policy, module.Controller)
--- a/herongap/fleet/bound.py
+++ b/herongap/fleet/bound.py
@@ -18,7 +18,7 @@
 from scipy.optimize import linprog
 from scipy.sparse import csr_matrix
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.fleet import day as days
 from herongap.fleet.day import Day, Script
 from herongap.fleet.machine import Kind
@@ -27,7 +27,7 @@
 AWAY = 6.0  # seconds, at most, from a viewer's last second of play or its block to its next request
 
 
-class NoBound(Unusable):
+class BoundUnavailableError(UnusableInputError):
     """A day of which the bound cannot be computed."""
 
     advice = "set bound_days = 0, or a stall that costs more"
@@ -45,7 +45,7 @@
     """The bound of one day's script; the same day and script that a controller is given."""
     kind = Kind(**days.farm_kind(day))
     if kind.stall * 0.98 <= max(kind.values):
-        raise NoBound("stalls cost too little for this bound: overrunning a link could pay")
+        raise BoundUnavailableError("stalls cost too little for this bound: overrunning a link could pay")
     edges = np.arange(0.0, day.size.seconds + 60.0, WINDOW)
     wants, totals, offered = _wants(day, script, edges)
     program = _Program(day, kind, list(wants))
@@ -167,7 +167,7 @@
             -np.array(self.gains), A_ub=matrix, b_ub=self.sizes, bounds=(0, None), method="highs"
         )
         if not solved.success:
-            raise NoBound(f"the linear program failed: {solved.message}")
+            raise BoundUnavailableError(f"the linear program failed: {solved.message}")
         prices: dict[str, float] = defaultdict(float)
         for price, size, what in zip(-solved.ineqlin.marginals, self.sizes, self.kinds, strict=True):
             prices[what] += price * size
--- a/herongap/fleet/day.py
+++ b/herongap/fleet/day.py
@@ -8,8 +8,8 @@
 
 from pydantic import Field, ValidationError
 
-from herongap.ini import Faults
-from herongap.ini.parts import Figures, PackageTerms, Part, Seconds, Share, WholeTerms
+from herongap.ini import ConfigFileError
+from herongap.ini.sections import FleetBudgetSection, PackageSection, RisingValues, Seconds, Section, Share
 
 Whole = Annotated[int, Field(ge=1, le=10000)]
 Above = Annotated[float, Field(gt=0)]
@@ -27,7 +27,7 @@
 MEMBERS = 3  # of the store
 
 
-class Size(Part):
+class Size(Section):
     """The [day] section."""
 
     seconds: Above = 40.0
@@ -46,15 +46,15 @@
     counted: Literal["fixed", "live"] = "fixed"
     ttl: Annotated[float, Field(ge=2)] = 6.0
     time_out: Above = 2.0
-    rates: Figures = [150.0, 400.0, 900.0, 1800.0]
-    values: Figures = [0.3, 0.55, 0.8, 1.0]
+    rates: RisingValues = [150.0, 400.0, 900.0, 1800.0]
+    values: RisingValues = [0.3, 0.55, 0.8, 1.0]
     small_screens: Share = 0.2
     extra_free: Annotated[float, Field(ge=0)] = 5.0
     extra_share: Share = 0.1
     extra_window: Above = 5.0
 
 
-class Clients(Part):
+class Clients(Section):
     """The [clients] section: shares of viewers with a habit, and who comes again."""
 
     repeats: Share = 0.04
@@ -65,7 +65,7 @@
     tries: Whole = 3
 
 
-class Machines(Part):
+class Machines(Section):
     """The [streamer] section."""
 
     link: Above = 20000.0
@@ -83,13 +83,13 @@
     join_wait: Above = 4.0
 
 
-class Share_(PackageTerms):
+class Share_(PackageSection):
     """A [package NAME] section: the front's keys, and its share of the viewings."""
 
     share: Share
 
 
-class Trouble(Part):
+class Trouble(Section):
     """A [trouble NAME] section; `part` of the streamers (controllers, members of the store) unless `on`
     numbers them.
     """
@@ -111,7 +111,7 @@
     machines: Machines
     packages: dict[str, Share_]
     troubles: dict[str, Trouble]
-    wholes: dict[str, WholeTerms] = {}
+    wholes: dict[str, FleetBudgetSection] = {}
 
     @property
     def latecomers(self) -> set[int]:
@@ -180,19 +180,19 @@
 
 
 def read_day(path: Path) -> Day:
-    """Raises Faults with all that is wrong."""
+    """Raises ConfigFileError with all that is wrong."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     try:
         with open(path, encoding="utf-8") as file:
             parser.read_file(file)
     except (OSError, UnicodeDecodeError, configparser.Error) as fault:
-        raise Faults(f"{path}: {fault}") from fault
+        raise ConfigFileError(f"{path}: {fault}") from fault
     faults: list[str] = []
     once = {"day": Size, "clients": Clients, "streamer": Machines}
     found: dict = {}
     named: dict = {"package": {}, "trouble": {}, "budget": {}}
-    models = {"package": Share_, "trouble": Trouble, "budget": WholeTerms}
+    models = {"package": Share_, "trouble": Trouble, "budget": FleetBudgetSection}
     for section in parser.sections():
         kind, _, name = section.partition(" ")
         model = once.get(section) or models.get(kind if name else "")
@@ -222,7 +222,7 @@
         if found.get("day", Size()).list_by != "etcd":
             faults.append(f"{path}: [budget {name}]: needs [day] list_by = etcd")
     if faults:
-        raise Faults("\n".join(faults))
+        raise ConfigFileError("\n".join(faults))
     return Day(
         found.get("day", Size()),
         found.get("clients", Clients()),
--- a/herongap/fleet/errors.py
+++ b/herongap/fleet/errors.py
@@ -1,9 +1,9 @@
 """The errors of the model."""
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 
-class NotModelled(Unusable):
+class UnsupportedTroubleError(UnusableInputError):
     """Something of a day that the model does not know."""
 
     advice = "play the day with `herongap rehearse`"
--- a/herongap/fleet/fit.py
+++ b/herongap/fleet/fit.py
@@ -12,7 +12,7 @@
 import numpy as np
 from scipy import optimize, stats
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.host.record import read_record
 
 FAMILIES = {
@@ -24,7 +24,7 @@
 LEAST = 20  # values under which nothing is fitted
 
 
-class TooFew(Unusable):
+class TooFewViewingsError(UnusableInputError):
     """Not enough viewings to fit anything."""
 
     advice = "give a record of a longer day"
@@ -81,7 +81,7 @@
                 number = sum(1 for key in sent if key[0] == decision[1])
                 sent[decision[1], number] = entry.now
     if len(asked) < LEAST:
-        raise TooFew(f"{len(asked)} viewings are too few to fit; {LEAST} are needed")
+        raise TooFewViewingsError(f"{len(asked)} viewings are too few to fit; {LEAST} are needed")
     times = sorted(at for at, _ in asked.values())
     gaps = [b - a for a, b in zip(times, times[1:], strict=False) if b > a]
     titles = Counter(str(ask.title) for _, ask in asked.values())
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -13,11 +13,11 @@
 from herongap.fleet import day as days
 from herongap.fleet.clock import Clock, stream
 from herongap.fleet.day import LOOK, Arrival, Day, Listing, Order, Script
-from herongap.fleet.errors import NotModelled
+from herongap.fleet.errors import UnsupportedTroubleError
 from herongap.fleet.machine import Kind, Machine, Rack, Session
 from herongap.host import Answer, Host
 from herongap.host.liveness import LOST_AFTER_SECONDS, SILENT_AFTER_SECONDS, STREAM_GONE_AFTER_SECONDS
-from herongap.ini import Site, parse_site
+from herongap.ini import SiteConfig, parse_site_config
 from herongap.interface import EndReason, LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 from herongap.rules import Controller
 
@@ -43,7 +43,7 @@
 class Front:
     """One controller and its port to the model's streamers."""
 
-    def __init__(self, model: "Model", number: int, site: Site, seed: int, make: Callable):
+    def __init__(self, model: "Model", number: int, site: SiteConfig, seed: int, make: Callable):
         self.model, self.number, self.site = model, number, site
         self.clock = model.clock
         model.boots += 1
@@ -54,7 +54,7 @@
         self.outs: dict[tuple[Id, int], Out] = {}
         self.plays: dict[tuple[Id, int], Session] = {}
         self.follows: set[str] = set()
-        self.host = Host(self.clock.now, seed, site.charter, self, None, make)
+        self.host = Host(self.clock.now, seed, site.deployment, self, None, make)
 
     # The port.
 
@@ -378,7 +378,7 @@
             self._answer(0, "broken")
             self._again(0.0)
             return
-        package = next(p for p in front.site.charter.packages if p.name == self.arrival.package)
+        package = next(p for p in front.site.deployment.packages if p.name == self.arrival.package)
         front.clients[viewing] = self
         left = max(0.0, terms.patience - front.site.front.answer_ahead)
         holders = self.model.script.titles[self.arrival.title]
@@ -553,7 +553,7 @@
                 self.log(name, "order", **{k: v for k, v in order.what.items() if k != "on"})
                 self.machines[name].order(order.what)
         elif order.to == "etcd":
-            raise NotModelled("a trouble of etcd is for rehearsals: the model has no etcd")
+            raise UnsupportedTroubleError("a trouble of etcd is for rehearsals: the model has no etcd")
         elif order.to == "list_late":
             self.late = order.what["by"]
         elif order.to == "list":
@@ -627,6 +627,6 @@
             self.clock.after(SETTLE_SECONDS, self._recount)
 
 
-def _site(day: Day, number: int, seed: int) -> Site:
+def _site(day: Day, number: int, seed: int) -> SiteConfig:
     folder = Path(tempfile.gettempdir())
-    return parse_site(days.front_ini(day, number, seed, folder), folder / "model.ini")
+    return parse_site_config(days.front_ini(day, number, seed, folder), folder / "model.ini")
--- a/herongap/fleet/store.py
+++ b/herongap/fleet/store.py
@@ -5,12 +5,12 @@
 
 import lmdb
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 VERSION = b"herongap-experiment 1"
 
 
-class NoStore(Unusable):
+class InvalidStoreError(UnusableInputError):
     """A file that is no store of results of this version."""
 
     advice = "name another file, or remove it: results are then made anew"
@@ -29,7 +29,7 @@
             if found is None and txn.stat()["entries"] == 0:
                 txn.put(b"version", VERSION)
             elif found != VERSION:
-                raise NoStore(f"{path} is no store of {VERSION.decode()}")
+                raise InvalidStoreError(f"{path} is no store of {VERSION.decode()}")
 
     def get(self, digest: str, seed: int) -> dict | None:
         with self.env.begin() as txn:
--- a/herongap/fleet/wholes.py
+++ b/herongap/fleet/wholes.py
@@ -11,7 +11,7 @@
 
 from herongap.accord.shares import read_allocation
 from herongap.fleet.seen import SLACK, Break, Out, Run
-from herongap.ini.parts import WholeTerms
+from herongap.ini.sections import FleetBudgetSection
 
 
 def wholes(run: Run) -> Iterator[Break]:
@@ -35,7 +35,7 @@
     }  # fmt: skip
 
 
-def _counted(run: Run, whole: WholeTerms, identity: str, outs: list[Out]) -> Iterator[Out]:
+def _counted(run: Run, whole: FleetBudgetSection, identity: str, outs: list[Out]) -> Iterator[Out]:
     if whole.package and run.package.get(identity) != whole.package:
         return
     seen: Counter = Counter()
@@ -54,7 +54,7 @@
     return [told[i] for i in range(len(told)) if i == 0 or told[i][1] != told[i - 1][1]]
 
 
-def _bound(run: Run, whole: WholeTerms, bounds: list[tuple[float, int]], at: float) -> int:
+def _bound(run: Run, whole: FleetBudgetSection, bounds: list[tuple[float, int]], at: float) -> int:
     # A lowered one binds when the last that had not heard of it has no lease any more.
     since = at - run.day.size.ttl - whole.window - SLACK
     ends = [*(at for at, _ in bounds[1:]), float("inf")]
@@ -62,7 +62,7 @@
     return max(found, default=whole.whole)
 
 
-def _held(run: Run, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Break]:
+def _held(run: Run, name: str, whole: FleetBudgetSection, counted, bounds) -> Iterator[Break]:
     steps = []
     for identity, out in counted:
         held = next((s for s in run.sessions[identity] if s.out is out), None)
@@ -76,7 +76,7 @@
             yield run.broken(7, at, f"{name}: {now} held of {most}", identity)
 
 
-def _begun(run: Run, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Break]:
+def _begun(run: Run, name: str, whole: FleetBudgetSection, counted, bounds) -> Iterator[Break]:
     begins = sorted((out.begin, identity) for identity, out in counted)
     first = 0
     for i, (at, identity) in enumerate(begins):
--- a/herongap/gossip/__init__.py
+++ b/herongap/gossip/__init__.py
@@ -5,13 +5,13 @@
 
 from herongap.gossip.gossip import Gossip, GossipConfig
 from herongap.gossip.members import MemberStatus, MemberTable
-from herongap.gossip.messages import Datagram, InvalidDatagram, MemberRecord, decode, encode
+from herongap.gossip.messages import Datagram, InvalidDatagramError, MemberRecord, decode, encode
 
 __all__ = [
     "Datagram",
     "Gossip",
     "GossipConfig",
-    "InvalidDatagram",
+    "InvalidDatagramError",
     "MemberRecord",
     "MemberStatus",
     "MemberTable",
--- a/herongap/gossip/gossip.py
+++ b/herongap/gossip/gossip.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from herongap.errors import Misuse
+from herongap.errors import InternalMisuseError
 from herongap.gossip import messages
 from herongap.gossip.members import MemberStatus, MemberTable
-from herongap.gossip.messages import Datagram, InvalidDatagram, MemberRecord
+from herongap.gossip.messages import Datagram, InvalidDatagramError, MemberRecord
 
 Address = tuple[str, int]
 OutgoingDatagrams = list[tuple[Address, bytes]]
@@ -87,7 +87,7 @@
 
     def __init__(self, now: float, own: MemberRecord, fleet: str, config: GossipConfig, seed: int):
         if own.status != MemberStatus.ALIVE:
-            raise Misuse(f"a member must start with status ALIVE, not {own.status}")
+            raise InternalMisuseError(f"a member must start with status ALIVE, not {own.status}")
         self.fleet, self.config, self.random = fleet, config, Random(seed)
         self.members = MemberTable(own)
         self.seeds: list[Address] = []
@@ -179,7 +179,7 @@
         self._detect_pause(now)
         try:
             datagram = messages.decode(data, self.fleet)
-        except InvalidDatagram:
+        except InvalidDatagramError:
             self.counts["unreadable"] += 1
             return []
         if datagram.sender == self.members.own.number:
--- a/herongap/gossip/messages.py
+++ b/herongap/gossip/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1200  # below the MTU of any path, so that a datagram is never fragmented
@@ -15,7 +15,7 @@
 PING, ACK, PING_REQUEST, PING_RESULT, SYNC = range(5)
 
 
-class InvalidDatagram(Unusable):
+class InvalidDatagramError(UnusableInputError):
     """A datagram that is truncated, of another version or fleet, or not of this protocol."""
 
     advice = (
@@ -85,15 +85,15 @@
 
 
 def decode(data: bytes, fleet: str) -> Datagram:
-    """The datagram in these bytes; raises InvalidDatagram."""
+    """The datagram in these bytes; raises InvalidDatagramError."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise InvalidDatagram(f"too large: {len(data)} bytes")
+        raise InvalidDatagramError(f"too large: {len(data)} bytes")
     try:
         datagram = _decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, ValueError) as error:
-        raise InvalidDatagram(str(error)[:MAX_ERROR_CHARACTERS]) from error
+        raise InvalidDatagramError(str(error)[:MAX_ERROR_CHARACTERS]) from error
     if datagram.version != VERSION or datagram.fleet != fleet or not PING <= datagram.kind <= SYNC:
-        raise InvalidDatagram(
+        raise InvalidDatagramError(
             f"version {datagram.version}, fleet {datagram.fleet!r:.40}, kind {datagram.kind}"
         )
     return datagram
--- a/herongap/host/host.py
+++ b/herongap/host/host.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
 
-from herongap.errors import Misuse
+from herongap.errors import InternalMisuseError
 from herongap.host.port import Id, Port
 from herongap.host.record import Recorder
 from herongap.host.viewing import Answer, HostedViewing, ViewingState
@@ -26,7 +26,7 @@
 TEAR_DOWN_SECONDS = 2.0  # time to confirm a teardown; after it the viewing counts as ended anyway
 
 
-class WrongInput(Misuse):
+class InvalidHostInputError(InternalMisuseError):
     """An input that the host cannot take in its present state, or a decision that it does not know."""
 
     advice = "internal error: keep the record and report it to the maintainers"
@@ -78,7 +78,7 @@
         """A viewer requests a viewing and waits `request.time_left` seconds; `Port.answer` follows once."""
         self._enter(now, "asked", request)
         if request.viewing in self.viewings:
-            raise WrongInput(f"viewing {request.viewing} is held already")
+            raise InvalidHostInputError(f"viewing {request.viewing} is held already")
         hosted = self.viewings[request.viewing] = HostedViewing(request, now)
         self.counts["asked"] += 1
         self.module.asked(now, request)
@@ -111,7 +111,7 @@
         """
         self._enter(now, "adopted", request, number, streamer, rung)
         if request.viewing in self.viewings:
-            raise WrongInput(f"viewing {request.viewing} is held already")
+            raise InvalidHostInputError(f"viewing {request.viewing} is held already")
         if streamer not in self.module.streamers:
             self.port.tear_down(request.viewing, number, streamer, False)
             self._pump(now)
@@ -305,7 +305,7 @@
             case "tell", (peer, message):
                 self.port.send_to_peer(peer, message)
             case _:
-                raise WrongInput(f"unknown decision {verb!r} of the module")
+                raise InvalidHostInputError(f"unknown decision {verb!r} of the module")
 
     def _current(self, viewing: Id, number: int, *states: ViewingState) -> HostedViewing | None:
         hosted = self.viewings.get(viewing)
--- a/herongap/host/record.py
+++ b/herongap/host/record.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.interface import DeploymentConfig, EndReason, LoadReport, StreamerEntry, ViewingRequest
 
 VERSION = 1
@@ -38,7 +38,7 @@
 }
 
 
-class RecordError(Unusable):
+class RecordError(UnusableInputError):
     """A record that cannot be read; line numbers begin at 1."""
 
     advice = "the lines before it are valid: truncate the file there"
--- a/herongap/host/viewing.py
+++ b/herongap/host/viewing.py
@@ -3,11 +3,11 @@
 from enum import Enum
 from typing import NamedTuple
 
-from herongap.errors import Misuse
+from herongap.errors import InternalMisuseError
 from herongap.interface import EndReason, ViewingRequest
 
 
-class InvalidTransition(Misuse):
+class InvalidTransitionError(InternalMisuseError):
     """A change of a viewing that its state does not allow."""
 
     advice = "internal error: keep the record and report it to the maintainers"
@@ -84,17 +84,17 @@
         return self.tune_ins - 1
 
     def transition_to(self, state: ViewingState) -> None:
-        """Change the state; raises InvalidTransition, without any change, if that is not allowed."""
+        """Change the state; raises InvalidTransitionError, without any change, if that is not allowed."""
         if state not in TRANSITIONS[self.state]:
-            raise InvalidTransition(
+            raise InvalidTransitionError(
                 f"viewing {self.request.viewing}: {self.state.value} cannot become {state.value}"
             )
         self.state = state
 
     def record_answer(self, answer: Answer) -> None:
-        """Record the one answer; raises InvalidTransition for a second one, which would break rule 1."""
+        """Record the one answer; raises InvalidTransitionError for a second one, which would break rule 1."""
         if self.answer is not None:
-            raise InvalidTransition(
+            raise InvalidTransitionError(
                 f"viewing {self.request.viewing} was answered {self.answer.verdict} already"
             )
         self.answer = answer
--- a/herongap/http.py
+++ b/herongap/http.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 from urllib.parse import parse_qs, unquote, urlsplit
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 # Status and title of each problem type (RFC 9457); the types are stable, so that clients can rely on them.
 PROBLEMS = {
@@ -50,7 +50,7 @@
 )
 
 
-class UrlError(Unusable):
+class UrlError(UnusableInputError):
     """The address of a streamer or a member is not an http URL."""
 
     advice = "write it as http://HOST:PORT in the list, or in the file that contains it"
--- a/herongap/ini/cross.py
+++ b/herongap/ini/cross_checks.py
@@ -3,7 +3,7 @@
 import re
 
 
-def cross(parts: dict, named: dict, faults: list[str]) -> None:
+def check_sections(parts: dict, named: dict, faults: list[str]) -> None:
     rungs = len(parts["ladder"].rates)
     if len(parts["ladder"].values) != rungs:
         faults.append(f"[ladder] values: {rungs} are needed, one for each rate")
--- a/herongap/ini/files.py
+++ b/herongap/ini/files.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.http import parse_url
 from herongap.interface import StreamerEntry, StreamerStatus
 
 
-class BadList(Unusable):
+class StreamerListError(UnusableInputError):
     """An entry of the list that cannot be used; the whole list is refused."""
 
     advice = "correct the entry that is named; the list before stays in force"
@@ -33,7 +33,7 @@
     started: float | None = None
 
 
-class List(msgspec.Struct, forbid_unknown_fields=True):
+class StreamerListFile(msgspec.Struct, forbid_unknown_fields=True):
     streamers: list[Entry]
 
 
@@ -58,15 +58,15 @@
     Raises ValueError, and takes nothing, if any entry is bad: half a list would look like streamers that
     left.
     """
-    entries = msgspec.json.decode(data, type=List).streamers
+    entries = msgspec.json.decode(data, type=StreamerListFile).streamers
     lines, addresses = [], {}
     for e in entries:
         try:
             address = parse_url(e.url)
         except ValueError as fault:
-            raise BadList(f"streamer {e.id}: {fault}") from fault
+            raise StreamerListError(f"streamer {e.id}: {fault}") from fault
         if e.id in addresses:
-            raise BadList(f"streamer {e.id} is listed twice")
+            raise StreamerListError(f"streamer {e.id} is listed twice")
         addresses[e.id] = address
         started = None if e.started is None else e.started + epoch
         lines.append(
--- a/herongap/ini/parts.py
+++ b/herongap/ini/sections.py
@@ -5,11 +5,11 @@
 
 from pydantic import AfterValidator, BaseModel, BeforeValidator, ConfigDict, Field
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.overload import ProcessLimits
 
 
-class BadValue(Unusable):
+class SettingValueError(UnusableInputError):
     """A value of a key that is not allowed; told with its section, key and what is."""
 
     advice = "correct the value in the file; `herongap check FILE` says what else is wrong"
@@ -26,42 +26,42 @@
 
 def _rising(value: list[float]) -> list[float]:
     if any(b < a for a, b in zip(value, value[1:], strict=False)):
-        raise BadValue("values must not fall from one rung to the next")
+        raise SettingValueError("values must not fall from one rung to the next")
     return value
 
 
 def _address(value: str) -> str:
     host, _, port = value.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise BadValue("HOST:PORT is needed, port 0 for any free one")
+        raise SettingValueError("HOST:PORT is needed, port 0 for any free one")
     return value
 
 
 def _members(value: list[str]) -> list[str]:
     if not value:
-        raise BadValue("at least one HOST:PORT is needed")
+        raise SettingValueError("at least one HOST:PORT is needed")
     if len(set(value)) < len(value):
-        raise BadValue("a member stands there twice")
+        raise SettingValueError("a member stands there twice")
     return [_address(member) for member in value]
 
 
 def _prefix(value: str) -> str:
     if not value.startswith("/") or not value.endswith("/"):
-        raise BadValue("a prefix begins and ends with /")
+        raise SettingValueError("a prefix begins and ends with /")
     return value
 
 
-Words = Annotated[list[str], BeforeValidator(_split)]
-Figures = Annotated[list[Rate], BeforeValidator(_split), AfterValidator(_rising)]
+StringList = Annotated[list[str], BeforeValidator(_split)]
+RisingValues = Annotated[list[Rate], BeforeValidator(_split), AfterValidator(_rising)]
 
 
-class Part(BaseModel):
+class Section(BaseModel):
     """A section of the file. Unknown keys are errors: a misspelt one would silently do nothing."""
 
     model_config = ConfigDict(extra="forbid")
 
 
-class Front(Part):
+class FrontSection(Section):
     listen: Annotated[str, AfterValidator(_address)] = "127.0.0.1:8080"
     number: Annotated[int, Field(ge=0)] = 0
     controllers: Annotated[int, Field(ge=1, le=100000)] = 1
@@ -77,15 +77,15 @@
     log_to: str = "-"
     stop_within: Seconds = 10.0
     metrics: Annotated[str, AfterValidator(lambda value: value and _address(value))] = ""
-    ice_servers: Words = []
+    ice_servers: StringList = []
 
 
-class Ladder(Part):
-    rates: Figures
+class LadderSection(Section):
+    rates: RisingValues
     values: Annotated[list[Share], BeforeValidator(_split), AfterValidator(_rising)]
 
 
-class PackageTerms(Part):
+class PackageSection(Section):
     protocol: Annotated[
         list[Literal["whep", "whip", "dash"]], BeforeValidator(_split), Field(min_length=1)
     ] = ["whep"]
@@ -103,7 +103,7 @@
     live: bool = False
 
 
-class Links(Part):
+class LinksSection(Section):
     per_weight: Rate
     rack: Rate
     told_late: Seconds = 0.5
@@ -112,27 +112,27 @@
     over_share: Share = 1.0
 
 
-class TuneIns(Part):
+class TuneInsSection(Section):
     most: Annotated[int, Field(ge=1, le=20)] = 4
     probes: bool = False
     come_back: Seconds = 0.5
     connect: Annotated[float, Field(gt=0, le=60)] = 0.25
 
 
-class Cold(Part):
+class ColdSection(Section):
     warm_up: Annotated[float, Field(gt=0, le=86400)] = 10.0
     start: Annotated[float, Field(gt=0, le=1)] = 0.4
     fall_multiple: Annotated[float, Field(gt=0)] = 2.5
     fall_within: Annotated[float, Field(gt=0, le=60)] = 1.0
 
 
-class Budget(Part):
+class BudgetSection(Section):
     free: Annotated[float, Field(ge=0)]
     share: Share
     window: Annotated[float, Field(gt=0, le=3600)]
 
 
-class WholeTerms(Part):
+class FleetBudgetSection(Section):
     """A [budget NAME]: a whole divided among the controllers. `linger`: how long what is held may outlast its
     controller; `without_store`: whether a part is used until its lease ends, or not once a renewal failed.
     """
@@ -149,10 +149,10 @@
     without_store: Literal["keep", "stop"] = "keep"
 
 
-class Etcd(Part):
+class EtcdSection(Section):
     """Where the list of streamers comes from etcd. `silent`: a watch that says nothing is made anew."""
 
-    endpoints: Annotated[Words, AfterValidator(_members)]
+    endpoints: Annotated[StringList, AfterValidator(_members)]
     prefix: Annotated[str, AfterValidator(_prefix)] = "/herongap/"
     user: str = ""
     password_file: str = ""
@@ -168,18 +168,18 @@
         return Path(self.password_file).read_text(encoding="utf-8").strip()
 
 
-class GossipPart(Part):
+class GossipSection(Section):
     """Membership over UDP. `advertise` is where others reach `listen`, `seeds` where any of them are."""
 
     listen: Annotated[str, AfterValidator(_address)]
     advertise: Annotated[str, AfterValidator(lambda value: value and _address(value))] = ""
-    seeds: Words = []
+    seeds: StringList = []
     fleet: Annotated[str, Field(min_length=1, max_length=40)] = "herongap"
     every: Annotated[float, Field(gt=0.05, le=60)] = 0.5
     patience: Annotated[float, Field(gt=0, le=10)] = 0.2
 
 
-class DashPart(Part):
+class DashSection(Section):
     """The DASH front. `token` is how long a session token lasts, `update` when a player should ask again,
     `url` how players reach this front where the Host header does not tell.
     """
@@ -193,7 +193,7 @@
     ahead: Annotated[float, Field(gt=0)] = 300.0
 
 
-class Streamers(Part):
+class StreamersSection(Section):
     list: str = ""
     whep: str = "/whep/{title}?layer={rung}"
     whip: str = "/whip/{title}?layer={rung}"
@@ -201,17 +201,17 @@
     look: Annotated[float, Field(gt=0, le=60)] = 0.2
 
 
-class CatalogueFile(Part):
+class CatalogueSection(Section):
     file: str
 
 
-class Token(Part):
+class TokenSection(Section):
     secret: Annotated[str, Field(min_length=8)]
     member: str = ""
-    packages: Words = []
+    packages: StringList = []
 
 
-class Limits(Part):
+class LimitsSection(Section):
     """The keys are those of `herongap.overload.ProcessLimits`."""
 
     connections: Annotated[int, Field(ge=1)] = ProcessLimits().connections
@@ -230,19 +230,19 @@
 
 
 ONCE = {
-    "front": Front,
-    "ladder": Ladder,
-    "links": Links,
-    "tune_ins": TuneIns,
-    "cold": Cold,
-    "budget": Budget,
-    "streamers": Streamers,
-    "etcd": Etcd,
-    "dash": DashPart,
-    "gossip": GossipPart,
-    "catalogue": CatalogueFile,
-    "limits": Limits,
+    "front": FrontSection,
+    "ladder": LadderSection,
+    "links": LinksSection,
+    "tune_ins": TuneInsSection,
+    "cold": ColdSection,
+    "budget": BudgetSection,
+    "streamers": StreamersSection,
+    "etcd": EtcdSection,
+    "dash": DashSection,
+    "gossip": GossipSection,
+    "catalogue": CatalogueSection,
+    "limits": LimitsSection,
 }
-NAMED = {"package": PackageTerms, "token": Token, "budget": WholeTerms}
+NAMED = {"package": PackageSection, "token": TokenSection, "budget": FleetBudgetSection}
 OPTIONAL = {"front", "tune_ins", "cold", "budget", "limits", "streamers", "etcd", "dash", "gossip"}
 NO_DEFAULT = {"budget", "etcd", "dash", "gossip"}  # absent where it is not in the file
--- a/herongap/ini/site.py
+++ b/herongap/ini/site.py
@@ -8,74 +8,77 @@
 
 from pydantic import ValidationError
 
-from herongap.errors import Unusable
-from herongap.ini.cross import cross
-from herongap.ini.parts import (
+from herongap.errors import UnusableInputError
+from herongap.ini.cross_checks import check_sections
+from herongap.ini.sections import (
     NAMED,
     NO_DEFAULT,
     ONCE,
     OPTIONAL,
-    CatalogueFile,
-    DashPart,
-    Etcd,
-    Front,
-    GossipPart,
-    Part,
-    Streamers,
-    Token,
-    WholeTerms,
+    CatalogueSection,
+    DashSection,
+    EtcdSection,
+    FleetBudgetSection,
+    FrontSection,
+    GossipSection,
+    Section,
+    StreamersSection,
+    TokenSection,
 )
 from herongap.interface import BudgetScope, DeploymentConfig, FleetBudget, Package, RepeatSafety, RepeatScope
 from herongap.overload import ProcessLimits
 
 
-class Faults(Unusable):
+class ConfigFileError(UnusableInputError):
     """All that is wrong with a file, a line each."""
 
     advice = "correct each line that is named; `herongap check FILE` tells whether it is enough"
 
 
-class Site(NamedTuple):
+class SiteConfig(NamedTuple):
     """What a front is started with. `protocols` are those of each package, `defaults` each protocol's
     package.
     """
 
-    front: Front
-    charter: DeploymentConfig
+    front: FrontSection
+    deployment: DeploymentConfig
     patience: dict[str, float]
     protocols: dict[str, list[str]]
     defaults: dict[str, str]
-    tokens: dict[str, Token]
-    wholes: dict[str, WholeTerms]
-    streamers: Streamers
-    etcd: Etcd | None
-    dash: DashPart | None
-    gossip: GossipPart | None
-    catalogue: CatalogueFile
+    tokens: dict[str, TokenSection]
+    fleet_budgets: dict[str, FleetBudgetSection]
+    streamers: StreamersSection
+    etcd: EtcdSection | None
+    dash: DashSection | None
+    gossip: GossipSection | None
+    catalogue: CatalogueSection
     connect: float
-    bounds: ProcessLimits
+    limits: ProcessLimits
 
 
-def read_site(path: Path) -> Site:
-    """Read and check a front's file; relative paths in it are taken from its folder. Raises Faults."""
+def read_site_config(path: Path) -> SiteConfig:
+    """Read and check a front's file; relative paths in it are taken from its folder.
+
+    Raises ConfigFileError.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as fault:
-        raise Faults(f"{path}: {fault}") from fault
-    return parse_site(text, path)
+        raise ConfigFileError(f"{path}: {fault}") from fault
+    return parse_site_config(text, path)
 
 
-def parse_site(text: str, path: Path) -> Site:
-    """Check the text of a front's file, which stands at `path`. Raises Faults."""
+def parse_site_config(text: str, path: Path) -> SiteConfig:
+    """Check the text of a front's file, which stands at `path`. Raises ConfigFileError."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str
     try:
         parser.read_string(text)
     except configparser.Error as fault:
-        raise Faults(f"{path}: {fault}") from fault
+        raise ConfigFileError(f"{path}: {fault}") from fault
     faults: list[str] = []
-    parts: dict[str, Part] = {}
-    named: dict[str, dict[str, Part]] = {kind: {} for kind in NAMED}
+    parts: dict[str, Section] = {}
+    named: dict[str, dict[str, Section]] = {kind: {} for kind in NAMED}
     places: dict[str, int] = {}
     for section in parser.sections():
         values = dict(parser[section])
@@ -100,17 +103,17 @@
     if not named["package"]:
         faults.append("[package NAME]: at least one package is needed")
     if not faults:
-        cross(parts, named, faults)
+        check_sections(parts, named, faults)
     if faults:
-        raise Faults("\n".join(f"{path}: {fault}" for fault in faults))
+        raise ConfigFileError("\n".join(f"{path}: {fault}" for fault in faults))
     return _site(path, parts, named, places)
 
 
-def _needed(model: type[Part]) -> list[str]:
+def _needed(model: type[Section]) -> list[str]:
     return [name for name, f in model.model_fields.items() if f.is_required()]
 
 
-def _part(section: str, model: type[Part], values: dict[str, str], faults: list[str]) -> Part | None:
+def _part(section: str, model: type[Section], values: dict[str, str], faults: list[str]) -> Section | None:
     try:
         return model.model_validate(values)
     except ValidationError as fault:
@@ -136,12 +139,12 @@
     return places
 
 
-def _beside(part: Part, near: Path, *keys: str) -> Part:
+def _beside(part: Section, near: Path, *keys: str) -> Section:
     """Paths taken from the file's folder."""
     return part.model_copy(update={k: str(near / value) for k in keys if (value := getattr(part, k))})
 
 
-def _site(path: Path, parts: dict, named: dict, places: dict[str, int]) -> Site:
+def _site(path: Path, parts: dict, named: dict, places: dict[str, int]) -> SiteConfig:
     front, ladder, links = parts["front"], parts["ladder"], parts["links"]
     tune_ins, cold, budget = parts["tune_ins"], parts["cold"], parts.get("budget")
     top = len(ladder.rates) - 1
@@ -161,7 +164,7 @@
         )
         for name, p in named["package"].items()
     )
-    charter = DeploymentConfig(
+    deployment = DeploymentConfig(
         me=front.number,
         zone=front.zone,
         controllers=front.controllers,
@@ -204,19 +207,19 @@
         for key in ("record", "log_to", "journal")
         if (value := getattr(front, key)) not in ("", "-")
     }
-    return Site(
+    return SiteConfig(
         front=front.model_copy(update=files),
-        charter=charter,
+        deployment=deployment,
         patience={name: p.patience for name, p in named["package"].items()},
         protocols={name: p.protocol for name, p in named["package"].items()},
         defaults=defaults,
         tokens=named["token"],
-        wholes=named["budget"],
+        fleet_budgets=named["budget"],
         streamers=_beside(parts["streamers"], near, "list"),
         etcd=_beside(parts["etcd"], near, "password_file", "remembered") if "etcd" in parts else None,
         dash=_beside(parts["dash"], near, "keys") if "dash" in parts else None,
         gossip=parts.get("gossip"),
         catalogue=parts["catalogue"].model_copy(update={"file": str(near / parts["catalogue"].file)}),
         connect=tune_ins.connect,
-        bounds=ProcessLimits(**parts["limits"].model_dump()),
+        limits=ProcessLimits(**parts["limits"].model_dump()),
     )
--- a/herongap/observe/__init__.py
+++ b/herongap/observe/__init__.py
@@ -7,7 +7,7 @@
 import structlog
 
 
-class Seldom:
+class LogRateLimiter:
     """Lets `most` lines of one kind pass in a second; the next that passes says how many did not."""
 
     def __init__(self, most: int, clock=time.monotonic):
@@ -27,7 +27,7 @@
         return entry
 
 
-def set_up(level: str, form: str, sink: str, most: int = 0) -> None:
+def configure_logging(level: str, form: str, sink: str, most: int = 0) -> None:
     """Lines of `level` and above, as "json" or "console", to the file `sink` ("-": standard error).
 
     `most` lines of one kind a second, 0 for any number.
@@ -38,7 +38,7 @@
     )
     structlog.configure(
         processors=[
-            *([Seldom(most)] if most else []),
+            *([LogRateLimiter(most)] if most else []),
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/herongap/observe/metrics.py
+++ b/herongap/observe/metrics.py
@@ -9,7 +9,7 @@
 TEXT = "text/plain; version=0.0.4; charset=utf-8"
 
 
-class Figures:
+class MetricsCollector:
     """Reads a host's and an overload guard's own books; `host`, `overload_guard` and `feed` (None without
     etcd) are those of a daemon.
     """
--- a/herongap/platform/config.py
+++ b/herongap/platform/config.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.interface import DeploymentConfig
 from herongap.platform.deployment import deployment_config
 from herongap.platform.messages import MessageContext
@@ -13,7 +13,7 @@
 Address = tuple[str, int]
 
 
-class ConfigError(Unusable):
+class ConfigError(UnusableInputError):
     """A configuration that cannot be used; the text says what is wrong."""
 
     advice = "correct the configuration file; a reload changes nothing until then"
--- a/herongap/platform/lines.py
+++ b/herongap/platform/lines.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterator
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 MAX_LINE_BYTES = 16384  # without the line feed
 
 
-class LineTooLongError(Unusable):
+class LineTooLongError(UnusableInputError):
     """A line longer than any message may be; nothing after it on the connection can be parsed."""
 
     advice = "see whose connection it was; it is closed"
--- a/herongap/platform/messages.py
+++ b/herongap/platform/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.interface import EndReason, LoadReport, ViewingRequest
 
 Number = int | float
@@ -35,13 +35,13 @@
 MAX_DURATION_SECONDS = 3600.0  # longer waiting times or lengths are rejected
 
 
-class MalformedMessageError(Unusable):
+class MalformedMessageError(UnusableInputError):
     """A line that is not a message; the rest of the connection cannot be parsed either."""
 
     advice = "see whose connection it was; it is closed and nothing else changes"
 
 
-class InvalidFieldError(Unusable):
+class InvalidFieldError(UnusableInputError):
     """A well-formed message with a field that is missing or invalid."""
 
     advice = "see who sent it; it is answered as failed"
--- a/herongap/platform/streamer_list.py
+++ b/herongap/platform/streamer_list.py
@@ -13,7 +13,7 @@
 import dns.rcode
 import dns.rdatatype
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.interface import StreamerEntry, StreamerStatus
 
 Address = tuple[str, int]
@@ -25,7 +25,7 @@
 }
 
 
-class InvalidAnswerError(Unusable):
+class InvalidAnswerError(UnusableInputError):
     """An answer of the resolver that cannot be used."""
 
     advice = "see the resolver; the list before stays in force"
--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -7,7 +7,7 @@
 
 import math
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 from herongap.fleet.day import Clients, Day, Machines, Share_, Size, Trouble
 
 STREAMERS, CONTROLLERS, RATE = 16, 4, 45.0  # what sockets on one machine bear
@@ -38,13 +38,13 @@
 NO_MATTER = {"peer_down"}
 
 
-class Undrawn(Unusable):
+class InvalidBenchDayError(UnusableInputError):
     """A file that is no drawn day of this family."""
 
     advice = "give a day as the bench writes it"
 
 
-class Unplayable(Unusable):
+class UnplayableDayError(UnusableInputError):
     """A day with a kind of trouble that sockets cannot play here; it is named, never skipped."""
 
     advice = "leave that trouble out, or play the day in the model"
@@ -53,19 +53,19 @@
 def from_bench(drawn: dict, whole: bool = False) -> Day:
     """The day of a file that the bench's draw wrote, cut to what sockets bear, or `whole` for the model.
 
-    Raises Unplayable or ValueError.
+    Raises UnplayableDayError or ValueError.
     """
     try:
         return _day(drawn, whole)
     except (KeyError, TypeError, IndexError) as fault:
-        raise Undrawn(f"not a drawn day of the streams family: {fault!r}") from fault
+        raise InvalidBenchDayError(f"not a drawn day of the streams family: {fault!r}") from fault
 
 
 def _day(drawn: dict, whole: bool) -> Day:
     fam, tier = drawn["fam"], drawn["tiers"][0]
     unknown = sorted({t["kind"] for t in drawn["troubles"]} - KINDS.keys() - NO_MATTER)
     if unknown:
-        raise Unplayable(f"no way to play {', '.join(unknown)}; known are {', '.join(sorted(KINDS))}")
+        raise UnplayableDayError(f"no way to play {', '.join(unknown)}; known are {', '.join(sorted(KINDS))}")
     streamers, controllers = len(drawn["servers"]), len(drawn["balancers"])
     if not whole:
         streamers, controllers = min(STREAMERS, streamers), min(CONTROLLERS, controllers)
--- a/herongap/rehearsal/controller.py
+++ b/herongap/rehearsal/controller.py
@@ -13,7 +13,7 @@
 from herongap import observe
 from herongap.daemon.run import Daemon, run_until_signal
 from herongap.fleet.baselines import POLICIES
-from herongap.ini import read_site
+from herongap.ini import read_site_config
 
 
 class Clock:
@@ -41,8 +41,8 @@
 
 
 def main(file: str, policy: str) -> None:
-    site = read_site(Path(file))
-    observe.set_up(site.front.log_level, site.front.log_format, site.front.log_to)
+    site = read_site_config(Path(file))
+    observe.configure_logging(site.front.log_level, site.front.log_format, site.front.log_to)
     clock = Clock()
     daemon = Daemon(site, POLICIES[policy], clock)
     daemon.start()
--- a/herongap/rehearsal/datagrams.py
+++ b/herongap/rehearsal/datagrams.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from herongap.gossip import InvalidDatagram, decode
+from herongap.gossip import InvalidDatagramError, decode
 
 Pair = tuple[int, int]
 
@@ -73,7 +73,7 @@
                 return
             try:
                 way = self.ways.get((decode(data, self.fleet).sender, number), Way())
-            except InvalidDatagram:
+            except InvalidDatagramError:
                 way = Way()  # noise is carried as it is
             if self.draw.random() < way.lost:
                 self.seen["lost"] += 1
--- a/herongap/sdp/offer.py
+++ b/herongap/sdp/offer.py
@@ -4,14 +4,14 @@
 
 import sdp_transform
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 # RFC 8866, section 5: the mandatory first lines, in this order.
 REQUIRED = ("v=0", "o=", "s=")
 DIRECTIONS = ("sendrecv", "sendonly", "recvonly", "inactive")
 
 
-class SdpError(Unusable):
+class SdpError(UnusableInputError):
     """A session description is invalid; the message says how."""
 
     advice = "see who sent it; the response has status 400 or 422"
--- a/herongap/standins/errors.py
+++ b/herongap/standins/errors.py
@@ -1,9 +1,9 @@
 """The errors of the stand-ins."""
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 
-class BadBase64(Unusable):
+class BadBase64(UnusableInputError):  # noqa: N818  # the class name is part of the reply
     """A key or value that is not base64."""
 
     advice = "nothing; whoever sent it is told"
--- a/herongap/whep/events.py
+++ b/herongap/whep/events.py
@@ -8,13 +8,13 @@
 
 import json
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 HEARTBEAT = b":\n\n"
 MAX_EVENT_BYTES = 65536  # a longer event is an error
 
 
-class EventError(Unusable):
+class EventError(UnusableInputError):
     """An event stream cannot be read."""
 
     advice = "see the streamer; the event stream is opened again"
--- a/herongap/whep/layers.py
+++ b/herongap/whep/layers.py
@@ -2,10 +2,10 @@
 
 import json
 
-from herongap.errors import Unusable
+from herongap.errors import UnusableInputError
 
 
-class NoSuchLayerError(Unusable):
+class NoSuchLayerError(UnusableInputError):
     """The requested layer does not exist."""
 
     advice = "none needed; the viewer gets the error"
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,7 +8,7 @@
 from helpers import until
 
 from herongap.daemon.run import Daemon
-from herongap.ini import read_site
+from herongap.ini import read_site_config
 from herongap.rehearsal.stage import Actors
 from herongap.rules import Controller
 from herongap.standins import Farm, Kind, Streamer, Viewer
@@ -74,7 +74,7 @@
         self.write_catalogue(titles or {"1": names, "2": names[:1]})
         self.write_list()
         (folder / "front.ini").write_text(INI + extra)
-        self.daemon = Daemon(read_site(folder / "front.ini"), make_controller, clock)
+        self.daemon = Daemon(read_site_config(folder / "front.ini"), make_controller, clock)
         self.daemon.start()
         self.client_events = []
 
@@ -137,7 +137,7 @@
         self.farm.command(what)
 
     def start_front(self, number, file):
-        daemon = self.fronts[number] = Daemon(read_site(file), self.make_controller)
+        daemon = self.fronts[number] = Daemon(read_site_config(file), self.make_controller)
         daemon.start()
         self.break_daemon(daemon)
         return daemon.address
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -14,7 +14,7 @@
 from loopback import INI
 from test_etcd import PREFIX, cluster
 from test_host import Port
-from test_parts import parse_site
+from test_parts import parse_site_config
 
 from herongap.accord import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms, UsageCounter
 from herongap.accord.document import encode_document
@@ -26,7 +26,7 @@
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
 from herongap.host import Host
-from herongap.ini import Faults
+from herongap.ini import ConfigFileError
 from herongap.interface import BudgetScope, EndReason, FleetBudget, LoadReport
 from herongap.rehearsal.relay import Relay
 
@@ -54,12 +54,12 @@
 
 
 def test_budget_sections_become_fleet_budgets_and_budget_terms(tmp_path):
-    made = parse_site(tmp_path, budget_ini())
-    assert made.charter.wholes == (
+    made = parse_site_config(tmp_path, budget_ini())
+    assert made.deployment.wholes == (
         FleetBudget("seats", BudgetScope.VIEWINGS, "priority"),
         FleetBudget("further", BudgetScope.FURTHER),
     )
-    all_terms = [budget_terms(name, whole) for name, whole in made.wholes.items()]
+    all_terms = [budget_terms(name, whole) for name, whole in made.fleet_budgets.items()]
     assert all_terms == [
         BudgetTerms("seats", BudgetKind.HELD, 40, linger=8.0),
         BudgetTerms("further", BudgetKind.RATE, 6, window=2.0, keep_without_store=False),
@@ -84,8 +84,8 @@
 def test_budget_error_names_section_key_value_and_allowed_values(tmp_path, change, message):
     text = budget_ini()
     assert change[0] in text
-    with pytest.raises(Faults, match=message):
-        parse_site(tmp_path, text.replace(*change))
+    with pytest.raises(ConfigFileError, match=message):
+        parse_site_config(tmp_path, text.replace(*change))
 
 
 # Decisions of the module.
@@ -403,7 +403,7 @@
 def test_day_with_unverifiable_budgets_is_rejected(tmp_path, change, message):
     assert change[0] in DAY
     (tmp_path / "day.ini").write_text(DAY.replace(*change))
-    with pytest.raises(Faults, match=message):
+    with pytest.raises(ConfigFileError, match=message):
         read_day(tmp_path / "day.ini")
 
 
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -37,7 +37,7 @@
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
-from herongap.ini.parts import Etcd as Terms
+from herongap.ini.sections import EtcdSection as Terms
 from herongap.interface import StreamerStatus
 from herongap.standins.etcd import Etcd, History, fill, put
 
@@ -727,12 +727,12 @@
 def test_front_starts_from_the_cached_list_and_serves_it(tmp_path):
     from herongap.daemon.http_connection import ConnectionPool
     from herongap.daemon.run import Daemon
-    from herongap.ini import read_site
+    from herongap.ini import read_site_config
 
     with cluster() as etcd:
         file = front(tmp_path, etcd, remembered="list", keep=0.02)
         file.write_text(file.read_text().replace("[front]", "[front]\nmetrics = 127.0.0.1:0"))
-        daemon = Daemon(read_site(file))
+        daemon = Daemon(read_site_config(file))
         daemon.start()
         until(lambda: daemon.registry.state == "following" and daemon.host.module.state.rank == 0)
         status = json.loads(
@@ -746,7 +746,7 @@
         assert 'herongap_list_state{state="following"} 1.0' in scraped and "herongap_has_rank 1.0" in scraped
         daemon.kill()
         etcd.members[0].stop()
-        daemon = Daemon(read_site(file))
+        daemon = Daemon(read_site_config(file))
         daemon.start()
         assert daemon.registry.state == "remembered" and len(daemon.host.statuses) == 3
         assert daemon.host.module.state.rank is None, (
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -29,7 +29,7 @@
 from herongap.fleet.model import Model, Viewer
 from herongap.fleet.store import Store
 from herongap.host import Recorder
-from herongap.ini import Faults, parse_site
+from herongap.ini import ConfigFileError, parse_site_config
 
 KIND = Kind((100.0, 300.0), (0.4, 1.0), 1000.0, 1500.0, 5, warm_up=10.0)
 PLAN = """
@@ -165,10 +165,10 @@
 
 
 def test_the_models_front_reads_the_file_that_a_rehearsals_does(bad, tmp_path):
-    made = parse_site(front_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
+    made = parse_site_config(front_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
     model = Model(bad, 7)
     model.run()
-    assert model.fronts[1].site.charter == made.charter and made.charter.me == 1
+    assert model.fronts[1].site.deployment == made.deployment and made.deployment.me == 1
 
 
 def experiment(tmp_path, least=2, most=4, half=0.5, b="policy = random", text=None):
@@ -248,7 +248,7 @@
      ("module = nowhere.py", "nowhere"), ("day = nowhere.ini", "nowhere"), ("colour = red", "colour")],
 )  # fmt: skip
 def test_a_bad_experiment_is_refused_with_its_reason(tmp_path, b, says):
-    with pytest.raises(Faults, match=says):
+    with pytest.raises(ConfigFileError, match=says):
         experiment(tmp_path, b=b)
 
 
@@ -276,7 +276,7 @@
         if number == 0:
             front = model.fronts[0]
             front.host.recorder = Recorder(lines.append)
-            front.host.recorder.start(0.0, 1, front.site.charter)
+            front.host.recorder.start(0.0, 1, front.site.deployment)
 
     size = bad.size.model_copy(update={"seconds": 60.0, "controllers": 1})
     alone = bad.clients.model_copy(update={"returns": 0.0})
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -14,7 +14,7 @@
 from herongap.host import replay
 from herongap.host.viewing import ViewingState
 from herongap.http import problem_kind
-from herongap.ini import read_site
+from herongap.ini import read_site_config
 from herongap.sdp import create_offer
 
 
@@ -227,7 +227,7 @@
             )
         fleet.daemon.kill()
         fleet.command("start")
-        daemons = [Daemon(read_site(folder / "front.ini")) for folder in folders]
+        daemons = [Daemon(read_site_config(folder / "front.ini")) for folder in folders]
         for daemon in daemons:
             daemon.start()
         posting = []
@@ -256,7 +256,7 @@
     fleet.daemon.kill()
     ini = fleet.folder / "front.ini"
     ini.write_text(ini.read_text().replace("[front]", "[front]\nmetrics = 127.0.0.1:0"))
-    fleet.daemon = Daemon(read_site(ini))
+    fleet.daemon = Daemon(read_site_config(ini))
     fleet.daemon.start()
     assert fleet.viewer().post(2).status == 201
     text = fleet.viewer("m").call("GET", target="/metrics").body
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -8,14 +8,14 @@
 from hypothesis import strategies as st
 from minicheck import check_safety
 
-from herongap.errors import Misuse
+from herongap.errors import InternalMisuseError
 from herongap.fleet.gossiping import Net
 from herongap.fleet.rumours import rumours
 from herongap.gossip import (
     Datagram,
     Gossip,
     GossipConfig,
-    InvalidDatagram,
+    InvalidDatagramError,
     MemberRecord,
     MemberStatus,
     MemberTable,
@@ -103,7 +103,7 @@
     newer_version = encode(msgspec.structs.replace(oversized, version=2, records=()))
     g = Gossip(0.0, ME, "f", GossipConfig(), 1)
     for bad in (b"", noise, data[:50], data + b"x", b"\x93" * 1000, other_fleet, newer_version, b"z" * 1201):
-        with pytest.raises(InvalidDatagram) as raised:
+        with pytest.raises(InvalidDatagramError) as raised:
             decode(bad, "f")
         assert raised.value.cause and raised.value.advice
         assert g.receive(0.0, bad, ("10.0.0.9", 1)) == []
@@ -111,7 +111,7 @@
 
 
 def test_member_must_start_alive():
-    with pytest.raises(Misuse):
+    with pytest.raises(InternalMisuseError):
         Gossip(0.0, changed(ME, status=MemberStatus.GONE), "f", GossipConfig(), 1)
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import NEWS, deployment_config, make_controller, streamer_entry, viewing_request
 
-from herongap.errors import Misuse
+from herongap.errors import InternalMisuseError
 from herongap.host import (
     Answer,
     Host,
@@ -148,7 +148,7 @@
     assert not host.adopted(10.0, viewing_request(4), 0, 99, 0)
     assert ("tear_down", 4, 0, 99, False) in port.effects and 4 not in host.viewings
     assert replay(record)[2] is None
-    with pytest.raises(Misuse):
+    with pytest.raises(InternalMisuseError):
         host.adopted(11.0, viewing_request(3), 0, 10, 0)
 
 
@@ -184,12 +184,12 @@
 def test_invalid_transitions_are_rejected():
     host, port = make_host()
     hosted = host.asked(1.0, viewing_request(1))
-    with pytest.raises(Misuse, match="held already"):
+    with pytest.raises(InternalMisuseError, match="held already"):
         host.asked(1.0, viewing_request(1))
-    with pytest.raises(Misuse, match="cannot become"):
+    with pytest.raises(InternalMisuseError, match="cannot become"):
         hosted.transition_to(ViewingState.CLOSING)
     hosted.record_answer(Answer("blocked"))
-    with pytest.raises(Misuse, match="was answered"):
+    with pytest.raises(InternalMisuseError, match="was answered"):
         hosted.record_answer(Answer("plays"))
 
 
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -12,7 +12,7 @@
     ConnectionLimiter,
     connections_to_close,
 )
-from herongap.observe import Seldom
+from herongap.observe import LogRateLimiter
 
 
 def never(client):
@@ -114,11 +114,11 @@
 
 def test_log_lines_of_one_event_are_limited_and_the_omitted_ones_counted():
     now = [10.0]
-    seldom = Seldom(2, lambda: now[0])
+    limiter = LogRateLimiter(2, lambda: now[0])
 
     def passes(event):
         try:
-            return seldom(None, "info", {"event": event})
+            return limiter(None, "info", {"event": event})
         except DropEvent:
             return None
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -24,21 +24,21 @@
     StreamerLiveness,
 )
 from herongap.http import Reply
-from herongap.ini import Faults, read_catalogue, read_list, read_site
+from herongap.ini import ConfigFileError, read_catalogue, read_list, read_site_config
 from herongap.interface import StreamerStatus
 from herongap.overload import OverloadGuard, ProcessLimits
 from herongap.standins import Viewer
 from herongap.standins.player import Player
 
 
-def parse_site(tmp_path, text):
+def parse_site_config(tmp_path, text):
     (tmp_path / "x.ini").write_text(text)
-    return read_site(tmp_path / "x.ini")
+    return read_site_config(tmp_path / "x.ini")
 
 
 def test_a_front_file_becomes_a_deployment_config(tmp_path):
-    made = parse_site(tmp_path, INI + "[budget]\nfree = 3\nshare = 0.1\nwindow = 5\n")
-    config = made.charter
+    made = parse_site_config(tmp_path, INI + "[budget]\nfree = 3\nshare = 0.1\nwindow = 5\n")
+    config = made.deployment
     assert config.ladder == (100.0, 300.0, 900.0) and config.places == {"std": 400} and config.extra_free == 3
     assert {p.name: (p.floor, p.seats) for p in config.packages}["priority"] == (1, 2)
     assert made.defaults == {"whep": "standard", "whip": "publish"}
@@ -67,13 +67,13 @@
 )
 def test_each_error_names_section_key_value_and_what_is_allowed(tmp_path, change, says):
     assert change[0] in INI
-    with pytest.raises(Faults, match=says):
-        parse_site(tmp_path, INI.replace(*change))
+    with pytest.raises(ConfigFileError, match=says):
+        parse_site_config(tmp_path, INI.replace(*change))
 
 
 def test_all_errors_are_reported_at_once(tmp_path):
-    with pytest.raises(Faults) as found:
-        parse_site(
+    with pytest.raises(ConfigFileError) as found:
+        parse_site_config(
             tmp_path,
             INI.replace("linger = 0.3", "linger = x").replace("rack = 50000", "rack = y") + "[odd]\n",
         )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,7 +8,7 @@
 
 from herongap.daemon.journal import Journal, JournalLockedError
 from herongap.daemon.run import Daemon
-from herongap.ini import read_site
+from herongap.ini import read_site_config
 
 
 class RestartableFleet(LoopbackFleet):
@@ -24,7 +24,7 @@
         self.start()
 
     def start(self):
-        self.daemon = Daemon(read_site(self.folder / "front.ini"))
+        self.daemon = Daemon(read_site_config(self.folder / "front.ini"))
         self.daemon.start()
 
     def restart(self, delay=0.0):
--- a/tests/test_house.py
+++ b/tests/test_source_tree.py
@@ -10,7 +10,7 @@
 import pytest
 
 import herongap
-from herongap.errors import HerongapError, Misuse, Unusable
+from herongap.errors import HerongapError, InternalMisuseError, UnusableInputError
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -49,16 +49,16 @@
             importlib.import_module(module.name)
     kinds = {kind for kind in every(HerongapError) if kind.__module__.startswith("herongap.")}
     assert len(kinds) > 30
-    general = {HerongapError.advice, Unusable.advice}
-    for kind in kinds - {HerongapError, Unusable, Misuse}:
+    general = {HerongapError.advice, UnusableInputError.advice}
+    for kind in kinds - {HerongapError, UnusableInputError, InternalMisuseError}:
         assert kind.advice and kind.advice not in general, kind
 
 
 def test_a_command_ends_with_cause_advice_and_a_status_by_kind():
-    from herongap.cli.refused import refused
+    from herongap.cli.errors import command_failure
 
-    for kind, status in ((Unusable, 1), (Misuse, 70), (HerongapError, 69)):
-        shown = refused(kind("no such thing", "look there"), "cannot start: ")
+    for kind, status in ((UnusableInputError, 1), (InternalMisuseError, 70), (HerongapError, 69)):
+        shown = command_failure(kind("no such thing", "look there"), "cannot start: ")
         assert shown.exit_code == status and shown.message == "cannot start: no such thing\nlook there"
     with pytest.raises(ValueError, match="seen"):
-        raise Unusable("seen")
+        raise UnusableInputError("seen")
