--- a/herongap/ini/__init__.py
+++ b/herongap/ini/__init__.py
@@ -1,4 +1,4 @@
-"""Reading and checking the INI files of the front, the list of streamers and the catalogue."""
+"""Reading and validating the INI file of a controller, the streamer list and the catalogue."""
 
 from herongap.ini.files import Catalogue, read_catalogue, read_list
 from herongap.ini.site import ConfigFileError, SiteConfig, parse_site_config, read_site_config
--- a/herongap/ini/files.py
+++ b/herongap/ini/files.py
@@ -1,6 +1,4 @@
-"""The list of streamers and the catalogue as JSON files, re-read when they change. Parsing alone, no
-decisions.
-"""
+"""Parsing of the two JSON files that are read again when they change: the streamer list and the catalogue."""
 
 from collections.abc import Collection
 from typing import Annotated, Literal
@@ -13,14 +11,17 @@
 
 
 class StreamerListError(UnusableInputError):
-    """An entry of the list that cannot be used; the whole list is refused."""
+    """An invalid entry of the streamer list, for which the whole list is rejected."""
 
-    advice = "correct the entry that is named; the list before stays in force"
+    advice = "correct the named entry; the previous list stays in force"
 
 
-class Entry(msgspec.Struct, forbid_unknown_fields=True):
-    """A streamer. `started` is seconds since the epoch, absent when it has run for long; cell and rack
-    default to the streamer's own."""
+class StreamerFileEntry(msgspec.Struct, forbid_unknown_fields=True):
+    """A streamer in the file.
+
+    `started` is seconds since the epoch, absent if the streamer has been running for long. `cell` and `rack`
+    default to the streamer's ID.
+    """
 
     id: Annotated[str, msgspec.Meta(min_length=1)]
     url: str
@@ -34,13 +35,15 @@
 
 
 class StreamerListFile(msgspec.Struct, forbid_unknown_fields=True):
-    streamers: list[Entry]
+    """The content of the streamer list file."""
+
+    streamers: list[StreamerFileEntry]
 
 
 class Catalogue(msgspec.Struct, forbid_unknown_fields=True):
-    """Which streamers hold a title; the title "*" stands for all that are not named.
+    """Which streamers hold a title; the title "*" stands for all titles that are not listed.
 
-    `lengths` are the seconds of recorded titles, for manifests; a title without one is live.
+    `lengths` are the durations of recorded titles in seconds, for manifests; a title without one is live.
     """
 
     titles: dict[str, list[str]]
@@ -48,43 +51,43 @@
 
     def holders(self, title: str) -> Collection[str] | None:
         """The streamers that hold a title, None if it is unknown."""
-        named = self.titles.get(title)
-        return self.titles.get("*") if named is None else named
+        streamers = self.titles.get(title)
+        return self.titles.get("*") if streamers is None else streamers
 
 
 def read_list(data: bytes, epoch: float) -> tuple[tuple[StreamerEntry, ...], dict[str, tuple[str, int]]]:
-    """The lines of a list and each streamer's address; `epoch` is the host's clock at the epoch's zero.
+    """The entries of a list and each streamer's address; `epoch` is the host clock's value at the Unix epoch.
 
-    Raises ValueError, and takes nothing, if any entry is bad: half a list would look like streamers that
+    Raises ValueError if any entry is invalid: in a partial list, the missing streamers would seem to have
     left.
     """
-    entries = msgspec.json.decode(data, type=StreamerListFile).streamers
-    lines, addresses = [], {}
-    for e in entries:
+    file_entries = msgspec.json.decode(data, type=StreamerListFile).streamers
+    entries, addresses = [], {}
+    for entry in file_entries:
         try:
-            address = parse_url(e.url)
-        except ValueError as fault:
-            raise StreamerListError(f"streamer {e.id}: {fault}") from fault
-        if e.id in addresses:
-            raise StreamerListError(f"streamer {e.id} is listed twice")
-        addresses[e.id] = address
-        started = None if e.started is None else e.started + epoch
-        lines.append(
+            address = parse_url(entry.url)
+        except ValueError as error:
+            raise StreamerListError(f"streamer {entry.id}: {error}") from error
+        if entry.id in addresses:
+            raise StreamerListError(f"streamer {entry.id} is listed twice")
+        addresses[entry.id] = address
+        started = None if entry.started is None else entry.started + epoch
+        entries.append(
             StreamerEntry(
-                e.id,
-                e.zone,
-                e.kind,
-                e.id,
-                e.cell or e.id,
-                e.rack or e.id,
-                StreamerStatus[e.standing.upper()],
-                e.weight,
+                entry.id,
+                entry.zone,
+                entry.kind,
+                entry.id,
+                entry.cell or entry.id,
+                entry.rack or entry.id,
+                StreamerStatus[entry.standing.upper()],
+                entry.weight,
                 started,
             )
         )
-    return tuple(lines), addresses
+    return tuple(entries), addresses
 
 
 def read_catalogue(data: bytes) -> Catalogue:
-    """Raises ValueError."""
+    """Parse the catalogue file. Raises ValueError."""
     return msgspec.json.decode(data, type=Catalogue)
--- a/herongap/ini/sections.py
+++ b/herongap/ini/sections.py
@@ -1,4 +1,4 @@
-"""The sections of a front's INI file: their keys, and what each value may be."""
+"""The sections of a controller's INI file: their keys and the allowed values."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -10,9 +10,9 @@
 
 
 class SettingValueError(UnusableInputError):
-    """A value of a key that is not allowed; told with its section, key and what is."""
+    """A value that is not allowed; it is reported with its section, its key and the allowed values."""
 
-    advice = "correct the value in the file; `herongap check FILE` says what else is wrong"
+    advice = "correct the value in the file; `herongap check FILE` reports all errors in the file"
 
 
 Seconds = Annotated[float, Field(ge=0, le=86400)]
@@ -20,49 +20,51 @@
 Rate = Annotated[float, Field(gt=0, le=1e9)]
 
 
-def _split(value):
-    return [part.strip() for part in value.split(",") if part.strip()] if isinstance(value, str) else value
+def _split_at_commas(value):
+    return [item.strip() for item in value.split(",") if item.strip()] if isinstance(value, str) else value
 
 
-def _rising(value: list[float]) -> list[float]:
+def _check_not_falling(value: list[float]) -> list[float]:
     if any(b < a for a, b in zip(value, value[1:], strict=False)):
         raise SettingValueError("values must not fall from one rung to the next")
     return value
 
 
-def _address(value: str) -> str:
+def _check_address(value: str) -> str:
     host, _, port = value.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise SettingValueError("HOST:PORT is needed, port 0 for any free one")
     return value
 
 
-def _members(value: list[str]) -> list[str]:
+def _check_members(value: list[str]) -> list[str]:
     if not value:
         raise SettingValueError("at least one HOST:PORT is needed")
     if len(set(value)) < len(value):
-        raise SettingValueError("a member stands there twice")
-    return [_address(member) for member in value]
+        raise SettingValueError("a member is listed twice")
+    return [_check_address(member) for member in value]
 
 
-def _prefix(value: str) -> str:
+def _check_prefix(value: str) -> str:
     if not value.startswith("/") or not value.endswith("/"):
-        raise SettingValueError("a prefix begins and ends with /")
+        raise SettingValueError("a prefix must begin and end with /")
     return value
 
 
-StringList = Annotated[list[str], BeforeValidator(_split)]
-RisingValues = Annotated[list[Rate], BeforeValidator(_split), AfterValidator(_rising)]
+StringList = Annotated[list[str], BeforeValidator(_split_at_commas)]
+RisingValues = Annotated[list[Rate], BeforeValidator(_split_at_commas), AfterValidator(_check_not_falling)]
 
 
 class Section(BaseModel):
-    """A section of the file. Unknown keys are errors: a misspelt one would silently do nothing."""
+    """A section of the file. Unknown keys are errors, since a misspelt key would have no effect."""
 
     model_config = ConfigDict(extra="forbid")
 
 
 class FrontSection(Section):
-    listen: Annotated[str, AfterValidator(_address)] = "127.0.0.1:8080"
+    """The controller itself: addresses, logging, record and shutdown."""
+
+    listen: Annotated[str, AfterValidator(_check_address)] = "127.0.0.1:8080"
     number: Annotated[int, Field(ge=0)] = 0
     controllers: Annotated[int, Field(ge=1, le=100000)] = 1
     zone: str = ""
@@ -76,18 +78,22 @@
     log_format: Literal["json", "console"] = "console"
     log_to: str = "-"
     stop_within: Seconds = 10.0
-    metrics: Annotated[str, AfterValidator(lambda value: value and _address(value))] = ""
+    metrics: Annotated[str, AfterValidator(lambda value: value and _check_address(value))] = ""
     ice_servers: StringList = []
 
 
 class LadderSection(Section):
+    """The rate of each rung and its value to a viewer."""
+
     rates: RisingValues
-    values: Annotated[list[Share], BeforeValidator(_split), AfterValidator(_rising)]
+    values: Annotated[list[Share], BeforeValidator(_split_at_commas), AfterValidator(_check_not_falling)]
 
 
 class PackageSection(Section):
+    """A [package NAME]: the service terms of a class of viewings."""
+
     protocol: Annotated[
-        list[Literal["whep", "whip", "dash"]], BeforeValidator(_split), Field(min_length=1)
+        list[Literal["whep", "whip", "dash"]], BeforeValidator(_split_at_commas), Field(min_length=1)
     ] = ["whep"]
     default: bool = False
     join_target: Annotated[float, Field(gt=0, le=600)]
@@ -104,6 +110,8 @@
 
 
 class LinksSection(Section):
+    """Link capacities of streamers and racks, and how much load is counted on them."""
+
     per_weight: Rate
     rack: Rate
     told_late: Seconds = 0.5
@@ -113,6 +121,8 @@
 
 
 class TuneInsSection(Section):
+    """How often and how long streamers are tried for a viewing."""
+
     most: Annotated[int, Field(ge=1, le=20)] = 4
     probes: bool = False
     come_back: Seconds = 0.5
@@ -120,6 +130,8 @@
 
 
 class ColdSection(Section):
+    """Slow start of streamers that have just started."""
+
     warm_up: Annotated[float, Field(gt=0, le=86400)] = 10.0
     start: Annotated[float, Field(gt=0, le=1)] = 0.4
     fall_multiple: Annotated[float, Field(gt=0)] = 2.5
@@ -127,14 +139,18 @@
 
 
 class BudgetSection(Section):
+    """The retry budget: how many further tune-ins are allowed."""
+
     free: Annotated[float, Field(ge=0)]
     share: Share
     window: Annotated[float, Field(gt=0, le=3600)]
 
 
 class FleetBudgetSection(Section):
-    """A [budget NAME]: a whole divided among the controllers. `linger`: how long what is held may outlast its
-    controller; `without_store`: whether a part is used until its lease ends, or not once a renewal failed.
+    """A [budget NAME]: a fleet budget of the size `whole`, divided among the controllers.
+
+    `linger` is how long a held item may outlast its controller. `without_store` says whether a controller
+    uses its allotment until its lease ends ("keep") or stops once a renewal failed ("stop").
     """
 
     kind: Literal["held", "rate"]
@@ -150,10 +166,13 @@
 
 
 class EtcdSection(Section):
-    """Where the list of streamers comes from etcd. `silent`: a watch that says nothing is made anew."""
+    """The connection to etcd, if the streamer list comes from there.
 
-    endpoints: Annotated[StringList, AfterValidator(_members)]
-    prefix: Annotated[str, AfterValidator(_prefix)] = "/herongap/"
+    A watch without any message for `silent` seconds is opened again.
+    """
+
+    endpoints: Annotated[StringList, AfterValidator(_check_members)]
+    prefix: Annotated[str, AfterValidator(_check_prefix)] = "/herongap/"
     user: str = ""
     password_file: str = ""
     connect: Annotated[float, Field(gt=0, le=60)] = 0.5
@@ -164,15 +183,18 @@
     keep: Annotated[float, Field(gt=0, le=3600)] = 1.0
 
     def secret(self) -> str:
-        """The password, read anew each time, so that it can be changed while the front runs."""
+        """The password, read at each call, so that it can be changed while the controller runs."""
         return Path(self.password_file).read_text(encoding="utf-8").strip()
 
 
 class GossipSection(Section):
-    """Membership over UDP. `advertise` is where others reach `listen`, `seeds` where any of them are."""
+    """Membership over UDP.
+
+    `advertise` is the address at which others reach `listen`, `seeds` are addresses of other controllers.
+    """
 
-    listen: Annotated[str, AfterValidator(_address)]
-    advertise: Annotated[str, AfterValidator(lambda value: value and _address(value))] = ""
+    listen: Annotated[str, AfterValidator(_check_address)]
+    advertise: Annotated[str, AfterValidator(lambda value: value and _check_address(value))] = ""
     seeds: StringList = []
     fleet: Annotated[str, Field(min_length=1, max_length=40)] = "herongap"
     every: Annotated[float, Field(gt=0.05, le=60)] = 0.5
@@ -180,8 +202,10 @@
 
 
 class DashSection(Section):
-    """The DASH front. `token` is how long a session token lasts, `update` when a player should ask again,
-    `url` how players reach this front where the Host header does not tell.
+    """The DASH service; times are in seconds.
+
+    `token` is the lifetime of a session token and `update` the interval at which players reload the manifest.
+    `url` is this controller's URL for players, used where it cannot be derived from the Host header.
     """
 
     keys: str
@@ -194,6 +218,8 @@
 
 
 class StreamersSection(Section):
+    """The streamer list file and the request paths at streamers."""
+
     list: str = ""
     whep: str = "/whep/{title}?layer={rung}"
     whip: str = "/whip/{title}?layer={rung}"
@@ -202,17 +228,21 @@
 
 
 class CatalogueSection(Section):
+    """The path of the catalogue file."""
+
     file: str
 
 
 class TokenSection(Section):
+    """A [token NAME]: a client credential and what it allows."""
+
     secret: Annotated[str, Field(min_length=8)]
     member: str = ""
     packages: StringList = []
 
 
 class LimitsSection(Section):
-    """The keys are those of `herongap.overload.ProcessLimits`."""
+    """Limits of the process; the keys are those of `herongap.overload.ProcessLimits`."""
 
     connections: Annotated[int, Field(ge=1)] = ProcessLimits().connections
     connections_a_peer: Annotated[int, Field(ge=1)] = ProcessLimits().connections_a_peer
@@ -229,7 +259,7 @@
     lag: Annotated[float, Field(gt=0)] = ProcessLimits().lag
 
 
-ONCE = {
+UNNAMED_SECTIONS = {
     "front": FrontSection,
     "ladder": LadderSection,
     "links": LinksSection,
@@ -243,6 +273,6 @@
     "catalogue": CatalogueSection,
     "limits": LimitsSection,
 }
-NAMED = {"package": PackageSection, "token": TokenSection, "budget": FleetBudgetSection}
-OPTIONAL = {"front", "tune_ins", "cold", "budget", "limits", "streamers", "etcd", "dash", "gossip"}
-NO_DEFAULT = {"budget", "etcd", "dash", "gossip"}  # absent where it is not in the file
+NAMED_SECTIONS = {"package": PackageSection, "token": TokenSection, "budget": FleetBudgetSection}
+OPTIONAL_SECTIONS = {"front", "tune_ins", "cold", "budget", "limits", "streamers", "etcd", "dash", "gossip"}
+SECTIONS_WITHOUT_DEFAULT = {"budget", "etcd", "dash", "gossip"}  # None unless the file has them
--- a/herongap/ini/site.py
+++ b/herongap/ini/site.py
@@ -1,5 +1,6 @@
-"""One front's INI file: each value checked, every error told at once with section, key, value and what is
-allowed.
+"""Reading a controller's INI file.
+
+All errors of the file are reported at once, each with its section, key, value and the allowed values.
 """
 
 import configparser
@@ -11,10 +12,10 @@
 from herongap.errors import UnusableInputError
 from herongap.ini.cross_checks import check_sections
 from herongap.ini.sections import (
-    NAMED,
-    NO_DEFAULT,
-    ONCE,
-    OPTIONAL,
+    NAMED_SECTIONS,
+    OPTIONAL_SECTIONS,
+    SECTIONS_WITHOUT_DEFAULT,
+    UNNAMED_SECTIONS,
     CatalogueSection,
     DashSection,
     EtcdSection,
@@ -30,14 +31,15 @@
 
 
 class ConfigFileError(UnusableInputError):
-    """All that is wrong with a file, a line each."""
+    """All errors of a file, one a line."""
 
-    advice = "correct each line that is named; `herongap check FILE` tells whether it is enough"
+    advice = "correct each named setting; `herongap check FILE` checks the file again"
 
 
 class SiteConfig(NamedTuple):
-    """What a front is started with. `protocols` are those of each package, `defaults` each protocol's
-    package.
+    """The settings that a controller process is started with.
+
+    `protocols` are the protocols of each package, `defaults` the default package of each protocol.
     """
 
     front: FrontSection
@@ -57,112 +59,116 @@
 
 
 def read_site_config(path: Path) -> SiteConfig:
-    """Read and check a front's file; relative paths in it are taken from its folder.
+    """Read and check a controller's file; relative paths in it are relative to its folder.
 
     Raises ConfigFileError.
     """
     try:
         text = path.read_text(encoding="utf-8")
-    except (OSError, UnicodeDecodeError) as fault:
-        raise ConfigFileError(f"{path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigFileError(f"{path}: {error}") from error
     return parse_site_config(text, path)
 
 
 def parse_site_config(text: str, path: Path) -> SiteConfig:
-    """Check the text of a front's file, which stands at `path`. Raises ConfigFileError."""
+    """Check the text of the controller's file at `path`. Raises ConfigFileError."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str
     try:
         parser.read_string(text)
-    except configparser.Error as fault:
-        raise ConfigFileError(f"{path}: {fault}") from fault
-    faults: list[str] = []
-    parts: dict[str, Section] = {}
-    named: dict[str, dict[str, Section]] = {kind: {} for kind in NAMED}
+    except configparser.Error as error:
+        raise ConfigFileError(f"{path}: {error}") from error
+    errors: list[str] = []
+    sections: dict[str, Section] = {}
+    named: dict[str, dict[str, Section]] = {kind: {} for kind in NAMED_SECTIONS}
     places: dict[str, int] = {}
     for section in parser.sections():
         values = dict(parser[section])
         kind, _, name = section.partition(" ")
         if section == "places":
-            places = _places(values, faults)
-        elif section in ONCE:
-            parts[section] = _part(section, ONCE[section], values, faults)
-        elif kind in NAMED and name.strip():
-            named[kind][name.strip()] = _part(section, NAMED[kind], values, faults)
+            places = _parse_places(values, errors)
+        elif section in UNNAMED_SECTIONS:
+            sections[section] = _parse_section(section, UNNAMED_SECTIONS[section], values, errors)
+        elif kind in NAMED_SECTIONS and name.strip():
+            named[kind][name.strip()] = _parse_section(section, NAMED_SECTIONS[kind], values, errors)
         else:
-            known = ", ".join([*ONCE, "places", *(f"{kind} NAME" for kind in NAMED)])
-            faults.append(f"[{section}]: unknown section; allowed: {known}")
-    for section, model in ONCE.items():
-        if section not in parts and section not in OPTIONAL:
-            faults.append(f"[{section}]: missing; needed keys: {', '.join(_needed(model))}")
-        elif section not in parts and section not in NO_DEFAULT:
-            parts[section] = model()
+            known = ", ".join([*UNNAMED_SECTIONS, "places", *(f"{kind} NAME" for kind in NAMED_SECTIONS)])
+            errors.append(f"[{section}]: unknown section; allowed: {known}")
+    for section, model in UNNAMED_SECTIONS.items():
+        if section not in sections and section not in OPTIONAL_SECTIONS:
+            errors.append(f"[{section}]: missing; needed keys: {', '.join(_required_keys(model))}")
+        elif section not in sections and section not in SECTIONS_WITHOUT_DEFAULT:
+            sections[section] = model()
     if not places and "places" not in parser:
-        # The pace of set-ups to streamers that may be cold goes by them.
-        faults.append("[places]: missing; a key for each kind of streamer, the viewings that one plays")
+        # They determine the rate of set-ups to streamers in slow start.
+        errors.append("[places]: missing; needs a key for each kind of streamer: the viewings that one plays")
     if not named["package"]:
-        faults.append("[package NAME]: at least one package is needed")
-    if not faults:
-        check_sections(parts, named, faults)
-    if faults:
-        raise ConfigFileError("\n".join(f"{path}: {fault}" for fault in faults))
-    return _site(path, parts, named, places)
+        errors.append("[package NAME]: at least one package is needed")
+    if not errors:
+        check_sections(sections, named, errors)
+    if errors:
+        raise ConfigFileError("\n".join(f"{path}: {error}" for error in errors))
+    return _build_site_config(path, sections, named, places)
 
 
-def _needed(model: type[Section]) -> list[str]:
-    return [name for name, f in model.model_fields.items() if f.is_required()]
+def _required_keys(model: type[Section]) -> list[str]:
+    return [name for name, field in model.model_fields.items() if field.is_required()]
 
 
-def _part(section: str, model: type[Section], values: dict[str, str], faults: list[str]) -> Section | None:
+def _parse_section(
+    section: str, model: type[Section], values: dict[str, str], errors: list[str]
+) -> Section | None:
     try:
         return model.model_validate(values)
-    except ValidationError as fault:
-        for error in fault.errors():
-            key = str(error["loc"][0])
-            if error["type"] == "missing":
-                faults.append(f"[{section}] {key}: missing")
-            elif error["type"] == "extra_forbidden":
+    except ValidationError as error:
+        for detail in error.errors():
+            key = str(detail["loc"][0])
+            if detail["type"] == "missing":
+                errors.append(f"[{section}] {key}: missing")
+            elif detail["type"] == "extra_forbidden":
                 known = ", ".join(model.model_fields)
-                faults.append(f"[{section}] {key} = {values[key]}: unknown key; allowed: {known}")
+                errors.append(f"[{section}] {key} = {values[key]}: unknown key; allowed: {known}")
             else:
-                faults.append(f"[{section}] {key} = {values.get(key)}: {error['msg']}")
+                errors.append(f"[{section}] {key} = {values.get(key)}: {detail['msg']}")
         return None
 
 
-def _places(values: dict[str, str], faults: list[str]) -> dict[str, int]:
+def _parse_places(values: dict[str, str], errors: list[str]) -> dict[str, int]:
     places = {}
     for kind, value in values.items():
         if not value.isdigit() or not int(value):
-            faults.append(f"[places] {kind} = {value}: a whole number of viewings above 0 is allowed")
+            errors.append(f"[places] {kind} = {value}: a whole number of viewings above 0 is allowed")
         else:
             places[kind] = int(value)
     return places
 
 
-def _beside(part: Section, near: Path, *keys: str) -> Section:
-    """Paths taken from the file's folder."""
-    return part.model_copy(update={k: str(near / value) for k in keys if (value := getattr(part, k))})
+def _resolve_paths(section: Section, folder: Path, *keys: str) -> Section:
+    """A copy of the section in which the paths under `keys` are relative to the file's folder."""
+    return section.model_copy(
+        update={key: str(folder / value) for key in keys if (value := getattr(section, key))}
+    )
 
 
-def _site(path: Path, parts: dict, named: dict, places: dict[str, int]) -> SiteConfig:
-    front, ladder, links = parts["front"], parts["ladder"], parts["links"]
-    tune_ins, cold, budget = parts["tune_ins"], parts["cold"], parts.get("budget")
-    top = len(ladder.rates) - 1
+def _build_site_config(path: Path, sections: dict, named: dict, places: dict[str, int]) -> SiteConfig:
+    front, ladder, links = sections["front"], sections["ladder"], sections["links"]
+    tune_ins, cold, retry_budget = sections["tune_ins"], sections["cold"], sections.get("budget")
+    top_rung = len(ladder.rates) - 1
     packages = tuple(
         Package(
             name,
-            p.join_target,
-            p.value,
-            RepeatSafety[p.repeat.upper()],
-            RepeatScope[p.group.upper()],
-            p.repeat_window,
-            p.scale,
-            p.floor,
-            min(p.top, top),
-            p.seats,
-            p.live,
+            package.join_target,
+            package.value,
+            RepeatSafety[package.repeat.upper()],
+            RepeatScope[package.group.upper()],
+            package.repeat_window,
+            package.scale,
+            package.floor,
+            min(package.top, top_rung),
+            package.seats,
+            package.live,
         )
-        for name, p in named["package"].items()
+        for name, package in named["package"].items()
     )
     deployment = DeploymentConfig(
         me=front.number,
@@ -186,40 +192,46 @@
         cold_start=cold.start,
         fall_multiple=cold.fall_multiple,
         fall_within=cold.fall_within,
-        extra_free=budget.free if budget else None,
-        extra_share=budget.share if budget else 0.0,
-        extra_window=budget.window if budget else 0.0,
+        extra_free=retry_budget.free if retry_budget else None,
+        extra_share=retry_budget.share if retry_budget else 0.0,
+        extra_window=retry_budget.window if retry_budget else 0.0,
         wholes=tuple(
             FleetBudget(
-                name, BudgetScope[w.counts.upper()], w.package or None, w.member or None, w.title or None
+                name,
+                BudgetScope[budget.counts.upper()],
+                budget.package or None,
+                budget.member or None,
+                budget.title or None,
             )
-            for name, w in named["budget"].items()
+            for name, budget in named["budget"].items()
         ),
     )
     defaults = {}
-    for name, p in named["package"].items():
-        for protocol in p.protocol:
-            if p.default or protocol not in defaults:
+    for name, package in named["package"].items():
+        for protocol in package.protocol:
+            if package.default or protocol not in defaults:
                 defaults[protocol] = name
-    near = path.resolve().parent
+    folder = path.resolve().parent
     files = {
-        key: str(near / value)
+        key: str(folder / value)
         for key in ("record", "log_to", "journal")
         if (value := getattr(front, key)) not in ("", "-")
     }
     return SiteConfig(
         front=front.model_copy(update=files),
         deployment=deployment,
-        patience={name: p.patience for name, p in named["package"].items()},
-        protocols={name: p.protocol for name, p in named["package"].items()},
+        patience={name: package.patience for name, package in named["package"].items()},
+        protocols={name: package.protocol for name, package in named["package"].items()},
         defaults=defaults,
         tokens=named["token"],
         fleet_budgets=named["budget"],
-        streamers=_beside(parts["streamers"], near, "list"),
-        etcd=_beside(parts["etcd"], near, "password_file", "remembered") if "etcd" in parts else None,
-        dash=_beside(parts["dash"], near, "keys") if "dash" in parts else None,
-        gossip=parts.get("gossip"),
-        catalogue=parts["catalogue"].model_copy(update={"file": str(near / parts["catalogue"].file)}),
+        streamers=_resolve_paths(sections["streamers"], folder, "list"),
+        etcd=_resolve_paths(sections["etcd"], folder, "password_file", "remembered")
+        if "etcd" in sections
+        else None,
+        dash=_resolve_paths(sections["dash"], folder, "keys") if "dash" in sections else None,
+        gossip=sections.get("gossip"),
+        catalogue=sections["catalogue"].model_copy(update={"file": str(folder / sections["catalogue"].file)}),
         connect=tune_ins.connect,
-        limits=ProcessLimits(**parts["limits"].model_dump()),
+        limits=ProcessLimits(**sections["limits"].model_dump()),
     )
