--- a/herongap/daemon/run.py
+++ b/herongap/daemon/run.py
@@ -25,7 +25,7 @@
 from herongap.http import Reply, Request, problem
 from herongap.ini import SiteConfig, read_catalogue, read_list
 from herongap.interface import StreamerEntry
-from herongap.observe.metrics import TEXT, MetricsCollector
+from herongap.observe.metrics import CONTENT_TYPE, MetricsCollector
 from herongap.overload import OverloadGuard
 from herongap.rules import Controller
 
@@ -93,7 +93,7 @@
         self.handler: RequestHandler | None = None
         self.server: Server | None = None
         self.metrics: Server | None = None
-        self._figures = MetricsCollector(self.host, self.overload_guard, self.registry)
+        self._metrics_collector = MetricsCollector(self.host, self.overload_guard, self.registry)
         self._greenlets: list = []
         self.stopped = Event()
 
@@ -248,7 +248,7 @@
             )
         if request.path != ["metrics"]:
             return problem("no-such-page")
-        return Reply(200, (("Content-Type", TEXT),), self._figures.text())
+        return Reply(200, (("Content-Type", CONTENT_TYPE),), self._metrics_collector.text())
 
     # Background work.
 
--- a/herongap/node/run.py
+++ b/herongap/node/run.py
@@ -212,7 +212,7 @@
 def main() -> None:
     """Run the controller that the environment describes; if it cannot start, say why and exit."""
     most = 0 if TRACE else MAX_LOG_LINES_PER_SECOND
-    observe.configure_logging(os.environ.get("HERONGAP_LOG", "info"), "json", "-", most=most)
+    observe.configure_logging(os.environ.get("HERONGAP_LOG", "info"), "json", "-", lines_per_second=most)
     if not (path := os.environ.get("PROXY_CONFIG")):
         sys.exit("herongap: PROXY_CONFIG is not set")
     try:
