--- a/herongap/cli/__init__.py
+++ b/herongap/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `herongap COMMAND`; each group of commands has a file of its own."""
+"""The command line `herongap COMMAND`; each group of commands has a module of its own."""
 
 import click
 
@@ -8,9 +8,9 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="herongap")
 def main() -> None:
-    """herongap places and shapes video sessions on streaming servers: WHIP and WHEP over HTTP.
+    """herongap assigns video sessions to streaming servers and controls their quality: WHIP, WHEP and DASH.
 
-    Begin with `herongap demo`, which runs a front with stand-in streamers on this machine.
+    Start with `herongap demo`, which runs a controller with simulated streamers on this machine.
     """
 
 
--- a/herongap/cli/__main__.py
+++ b/herongap/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m herongap.cli`."""
+"""Entry point of `python -m herongap.cli`."""
 
 from herongap.cli import main
 
--- a/herongap/cli/errors.py
+++ b/herongap/cli/errors.py
@@ -1,15 +1,16 @@
-"""How a command ends that cannot do what it was asked: cause, what can be done, and a status by kind."""
+"""How a command ends that cannot do what was requested: cause, advice and an exit status by kind of error."""
 
 import click
 
 from herongap.errors import HerongapError
 
 
-def command_failure(fault: Exception, before: str = "") -> click.ClickException:
-    """The end of a command: 1 where what was given cannot be used, 69 where something outside is not as it
-    has to be, 70 where it is a fault of ours.
+def command_failure(error: Exception, prefix: str = "") -> click.ClickException:
+    """The exception that ends a command.
+
+    Its exit status is 1 for unusable input, 69 for an unmet external condition and 70 for an internal error.
     """
-    ours = isinstance(fault, HerongapError)
-    shown = click.ClickException(f"{before}{fault}" + (f"\n{fault.advice}" if ours else ""))
-    shown.exit_code = fault.exit_code if ours else 1
-    return shown
+    has_advice = isinstance(error, HerongapError)
+    failure = click.ClickException(f"{prefix}{error}" + (f"\n{error.advice}" if has_advice else ""))
+    failure.exit_code = error.exit_code if has_advice else 1
+    return failure
--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -1,4 +1,4 @@
-"""`list`: the list of streamers, as a running controller sees it and as etcd has it."""
+"""The command `list`: the streamer list, as a running controller knows it and as etcd holds it."""
 
 import json
 import sys
@@ -19,15 +19,15 @@
 
 @click.group("list")
 def lists() -> None:
-    """The list of streamers: what a controller knows of it, and what stands in etcd.
+    """Show and change the streamer list, as a controller knows it or as etcd holds it.
 
-    FILE is a front's INI file with a section [etcd]. Exit code 1 where a key's value is bad or etcd refuses,
-    2 where it cannot be reached.
+    FILE is a controller's INI file with a section [etcd]. Exit code 1 if a value is invalid or etcd rejects a
+    request, 2 if etcd or the controller cannot be reached.
     """
 
 
 class Store:
-    """The etcd of a front's file, asked member after member."""
+    """The etcd cluster of a controller's file; its members are tried one after another."""
 
     def __init__(self, file: Path):
         from herongap.daemon.etcd import EtcdClient
@@ -35,33 +35,37 @@
         self.site = load(file)
         self.terms = self.site.etcd
         if self.terms is None:
-            raise click.ClickException(f"{file}: no section [etcd]; its list is a file")
+            raise click.ClickException(f"{file}: no section [etcd]; its streamer list is a file")
         self.client = EtcdClient(self.terms, "herongap-list")
 
-    def call(self, path: str, body: bytes, kind: type):
+    def call(self, path: str, body: bytes, response_type: type):
+        """The response of the first member that can be reached; exits with status 2 if none can."""
         from herongap.daemon.etcd import NETWORK_ERRORS
         from herongap.etcd import EtcdError
 
-        faults = []
+        errors = []
         for address in self.terms.endpoints:
             try:
-                return self.client.call(address, path, body, kind)
-            except NETWORK_ERRORS as fault:
-                if isinstance(fault, EtcdError):
-                    raise click.ClickException(f"{address}: {fault}") from fault
-                faults.append(f"{address}: {fault!r}")
-        click.echo("no member of etcd can be reached\n" + "\n".join(faults), err=True)
+                return self.client.call(address, path, body, response_type)
+            except NETWORK_ERRORS as error:
+                if isinstance(error, EtcdError):
+                    raise click.ClickException(f"{address}: {error}") from error
+                errors.append(f"{address}: {error!r}")
+        click.echo("no member of etcd can be reached\n" + "\n".join(errors), err=True)
         sys.exit(2)
 
     def key(self, kind: str, name: str) -> str:
+        """The etcd key of an object."""
         return f"{self.terms.prefix}{kind}/{name}"
 
     def items(self) -> tuple[int, dict]:
-        """The revision, and all keys under the prefix as the store holds them."""
-        from herongap.etcd import messages as m
+        """The revision, and all keys under the prefix with their etcd metadata."""
+        from herongap.etcd import messages
 
         prefix = self.terms.prefix
-        reply = self.call("/v3/kv/range", m.range_body(prefix, m.prefix_end(prefix)), m.RangeResponse)
+        reply = self.call(
+            "/v3/kv/range", messages.range_body(prefix, messages.prefix_end(prefix)), messages.RangeResponse
+        )
         return reply.header.revision, {kv.key.decode("utf-8", "replace"): kv for kv in reply.kvs}
 
     def read(self) -> tuple[int, dict[str, bytes]]:
@@ -70,122 +74,129 @@
         return revision, {key: kv.value for key, kv in found.items()}
 
     def put(self, key: str, value: bytes) -> int:
-        from herongap.etcd import messages as m
+        """Store a value; returns the new revision."""
+        from herongap.etcd import messages
 
-        return self.call("/v3/kv/put", m.put_body(key, value), m.PutResponse).header.revision
+        return self.call("/v3/kv/put", messages.put_body(key, value), messages.PutResponse).header.revision
 
     def delete(self, key: str) -> int:
-        from herongap.etcd import messages as m
+        """Delete a key; returns the new revision."""
+        from herongap.etcd import messages
 
-        return self.call("/v3/kv/deleterange", m.delete_body(key), m.PutResponse).header.revision
+        return self.call(
+            "/v3/kv/deleterange", messages.delete_body(key), messages.PutResponse
+        ).header.revision
 
 
 @lists.command()
 @click.argument("file", type=FILE)
-@click.option("--from-etcd", is_flag=True, help="What stands in etcd now, not what the controller knows.")
+@click.option("--from-etcd", is_flag=True, help="Read etcd, not the running controller.")
 @JSON
 def show(file: Path, from_etcd: bool, as_json: bool) -> None:
-    """The whole list, its revision, how old it is, and which controllers live.
+    """Show the complete list, its revision, its age and the live controllers.
 
-    Asks the running controller at its `metrics` address; without one, or with --from-etcd, etcd itself.
+    The list is requested from the running controller at its `metrics` address, or from etcd if there is no
+    such address or with --from-etcd.
     """
     address = load(file).front.metrics
-    told = _stands(Store(file)) if from_etcd or not address else _known(address)
+    status = _read_etcd(Store(file)) if from_etcd or not address else _query_controller(address)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(status))
     else:
-        _tell(told)
-    sys.exit(1 if told["source"].get("bad") else 0)
+        _print_list(status)
+    sys.exit(1 if status["source"].get("bad") else 0)
 
 
-def _known(address: str) -> dict:
+def _query_controller(address: str) -> dict:
     from herongap.daemon.etcd import NETWORK_ERRORS
     from herongap.daemon.http_connection import request_once
     from herongap.daemon.listen import read_address
 
     try:
         return json.loads(request_once(read_address(address), "GET", "/list", time_out=3.0).body)
-    except (*NETWORK_ERRORS, ValueError) as fault:
-        click.echo(f"the controller at {address} does not answer: {fault!r}", err=True)
+    except (*NETWORK_ERRORS, ValueError) as error:
+        click.echo(f"the controller at {address} does not answer: {error!r}", err=True)
         sys.exit(2)
 
 
-def _stands(store: Store) -> dict:
+def _read_etcd(store: Store) -> dict:
     from herongap.etcd import KeyChange, KeyEntry, RegistryState
 
     revision, found = store.read()
-    directory = RegistryState(store.terms.prefix, 0.0)
-    directory.apply(
+    registry = RegistryState(store.terms.prefix, 0.0)
+    registry.apply(
         0.0, [KeyChange(key, None, KeyEntry(value, 0, 0)) for key, value in found.items()], first=True
     )
     streamers = {
-        str(line.streamer): {
-            "standing": line.status.name.lower(), "address": "{}:{}".format(*value.address),
-            "zone": line.zone, "kind": line.kind, "rack": line.rack, "started": line.started,
+        str(entry.streamer): {
+            "standing": entry.status.name.lower(), "address": "{}:{}".format(*value.address),
+            "zone": entry.zone, "kind": entry.kind, "rack": entry.rack, "started": entry.started,
         }
-        for line in directory.all_entries() for value in [directory.streamers[line.streamer]]
+        for entry in registry.all_entries() for value in [registry.streamers[entry.streamer]]
     }  # fmt: skip
-    controllers = {str(n): name for n, name in sorted(directory.controllers.items())}
-    lost = sorted(directory.drains - set(streamers))
-    source = {"state": "etcd", "revision": revision, "bad": directory.bad_values, "controllers": controllers,
-              "drains": sorted(directory.drains), "drains_of_nobody": lost}  # fmt: skip
+    controllers = {str(n): name for n, name in sorted(registry.controllers.items())}
+    unmatched_drains = sorted(registry.drains - set(streamers))
+    source = {"state": "etcd", "revision": revision, "bad": registry.bad_values, "controllers": controllers,
+              "drains": sorted(registry.drains), "drains_of_nobody": unmatched_drains}  # fmt: skip
     return {"streamers": streamers, "source": source}
 
 
-def _tell(told: dict) -> None:
-    source = told["source"]
-    for name, st in told["streamers"].items():
-        where = " ".join(f"{k} {st[k]}" for k in ("zone", "rack") if st.get(k))
-        click.echo(f"{name:20} {st['standing']:8} {st['address']:24} {where}".rstrip())
-    age = f", known whole {source['age']:.1f} s ago" if source.get("age") is not None else ""
+def _print_list(status: dict) -> None:
+    source = status["source"]
+    for name, streamer in status["streamers"].items():
+        where = " ".join(f"{key} {streamer[key]}" for key in ("zone", "rack") if streamer.get(key))
+        click.echo(f"{name:20} {streamer['standing']:8} {streamer['address']:24} {where}".rstrip())
+    age = f", last confirmed {source['age']:.1f} s ago" if source.get("age") is not None else ""
     revision = f", revision {source['revision']}" if "revision" in source else ""
-    click.echo(f"{len(told['streamers'])} streamers, {source['state']}{revision}{age}")
+    click.echo(f"{len(status['streamers'])} streamers, {source['state']}{revision}{age}")
     for number, name in source.get("controllers", {}).items():
-        click.echo(f"controller {number}: {name or '(value not readable)'}")
+        click.echo(f"controller {number}: {name or '(unreadable value)'}")
     for key, reason in source.get("bad", {}).items():
         click.echo(f"bad value: {key}: {reason}", err=True)
 
 
 @lists.command()
 @click.argument("file", type=FILE)
-@click.option("--seconds", type=float, help="End after so long.")
+@click.option("--seconds", type=float, help="End after this time.")
 @JSON
 def watch(file: Path, seconds: float | None, as_json: bool) -> None:
-    """Tell every change of the list as it comes, with its revision."""
+    """Print every change of the list as it arrives, with its revision."""
     import gevent
 
     from herongap.daemon.etcd import StreamerRegistry
 
     terms = Store(file).terms.model_copy(update={"remembered": ""})
 
-    def listed(kind: str, lines, addresses) -> None:
-        for line in lines:
-            standing, revision = line.status.name.lower(), feed.follower.revision
+    def print_changes(kind: str, entries, addresses) -> None:
+        for entry in entries:
+            standing, revision = entry.status.name.lower(), registry.follower.revision
             if as_json:
-                told = {"at": round(time.time(), 3), "kind": kind, "revision": revision}
-                click.echo(json.dumps(told | {"streamer": line.streamer, "standing": standing}))
+                change = {"at": round(time.time(), 3), "kind": kind, "revision": revision}
+                click.echo(json.dumps(change | {"streamer": entry.streamer, "standing": standing}))
             else:
-                click.echo(f"{revision:>10} {kind:8} {line.streamer:20} {standing}")
+                click.echo(f"{revision:>10} {kind:8} {entry.streamer:20} {standing}")
             sys.stdout.flush()
 
-    feed = StreamerRegistry(terms, 0, 1, 1, "herongap-list", time.monotonic, listed, lambda *place: None)
-    following = gevent.spawn(feed.follow)
+    registry = StreamerRegistry(
+        terms, 0, 1, 1, "herongap-list", time.monotonic, print_changes, lambda *place: None
+    )
+    following = gevent.spawn(registry.follow)
     try:
         following.join(timeout=seconds)
     except KeyboardInterrupt:
         pass
     finally:
         following.kill()
-        feed.close()
+        registry.close()
 
 
 @lists.command()
 @click.argument("file", type=FILE)
 @click.argument("streamers", nargs=-1, required=True)
-@click.option("--reason", default="", help="Kept with the drain.")
-@click.option("--by", default="", help="Who drains; kept with it.")
+@click.option("--reason", default="", help="Stored with the drain.")
+@click.option("--by", default="", help="Who drains; stored with the drain.")
 def drain(file: Path, streamers: tuple[str, ...], reason: str, by: str) -> None:
-    """Send no new work to STREAMERS; what plays there plays on. Tells the revision from which that holds."""
+    """Send no new work to STREAMERS; their viewings continue. Prints the revision from which this holds."""
     from herongap.etcd.keys import update_value
 
     store = Store(file)
@@ -202,7 +213,7 @@
 @click.argument("file", type=FILE)
 @click.argument("streamers", nargs=-1, required=True)
 def undrain(file: Path, streamers: tuple[str, ...]) -> None:
-    """Let new work go to STREAMERS again."""
+    """Allow new work for STREAMERS again."""
     store = Store(file)
     _, found = store.read()
     for name in streamers:
@@ -215,28 +226,28 @@
 @lists.command("import")
 @click.argument("file", type=FILE)
 @click.argument("source", type=FILE)
-@click.option("--delete-others", is_flag=True, help="Delete streamers that SOURCE does not name.")
-@click.option("--dry-run", is_flag=True, help="Tell what would be done.")
+@click.option("--delete-others", is_flag=True, help="Delete streamers that are not in SOURCE.")
+@click.option("--dry-run", is_flag=True, help="Only print what would be done.")
 def import_(file: Path, source: Path, delete_others: bool, dry_run: bool) -> None:
-    """Put the streamers of SOURCE, a list as [streamers] list takes it, into etcd.
+    """Write the streamers of SOURCE, a streamer list file as in [streamers] list, to etcd.
 
-    What is the same already is left alone; fields that SOURCE does not know are kept. Standing "leaving" puts
-    a drain, "active" ends one, "left" deletes the streamer.
+    Unchanged values are not written again, and fields that SOURCE cannot contain are kept. The standing
+    "leaving" adds a drain, "active" removes it, "left" deletes the streamer.
     """
     from herongap.etcd.keys import InvalidValueError, decode_value, update_value
 
     try:
         entries = msgspec.json.decode(source.read_bytes(), type=StreamerListFile).streamers
-    except (msgspec.MsgspecError, ConfigFileError) as fault:
-        raise command_failure(fault, f"{source}: ") from fault
+    except (msgspec.MsgspecError, ConfigFileError) as error:
+        raise command_failure(error, f"{source}: ") from error
     store = Store(file)
     _, found = store.read()
     puts: list[tuple[str, bytes]] = []
-    gone: list[str] = []
+    deletions: list[str] = []
     for entry in entries:
         key, drain_key = store.key("streamers", entry.id), store.key("drains", entry.id)
         if entry.standing == "left":
-            gone += [k for k in (key, drain_key) if k in found]
+            deletions += [k for k in (key, drain_key) if k in found]
             continue
         fields = {k: v for k, v in msgspec.to_builtins(entry).items() if k not in ("id", "standing")}
         if fields["started"] is None:
@@ -244,23 +255,25 @@
         try:
             value = update_value(found.get(key), **fields)
             decode_value("streamers", value)
-        except InvalidValueError as fault:
-            raise click.ClickException(f"{entry.id}: {fault}; nothing was put") from fault
+        except InvalidValueError as error:
+            raise click.ClickException(f"{entry.id}: {error}; nothing was written") from error
         if key not in found or msgspec.json.decode(found[key]) != msgspec.json.decode(value):
             puts.append((key, value))
         if entry.standing == "leaving" and drain_key not in found:
             puts.append((drain_key, update_value(None, since=time.time(), reason=f"import of {source.name}")))
         if entry.standing == "active" and drain_key in found:
-            gone.append(drain_key)
+            deletions.append(drain_key)
     if delete_others:
         named = {store.key("streamers", entry.id) for entry in entries}
-        gone += [k for k in found if k.startswith(store.key("streamers", "")) and k not in named]
+        deletions += [k for k in found if k.startswith(store.key("streamers", "")) and k not in named]
     for key, value in puts:
         click.echo(f"put {key}")
         if not dry_run:
             store.put(key, value)
-    for key in gone:
+    for key in deletions:
         click.echo(f"delete {key}")
         if not dry_run:
             store.delete(key)
-    click.echo(f"{len(puts)} put, {len(gone)} deleted" + (", nothing done: --dry-run" if dry_run else ""))
+    click.echo(
+        f"{len(puts)} put, {len(deletions)} deleted" + (", nothing done: --dry-run" if dry_run else "")
+    )
--- a/herongap/cli/node.py
+++ b/herongap/cli/node.py
@@ -1,4 +1,4 @@
-"""`node`: a controller on the platform."""
+"""The command `node`: a controller on the platform."""
 
 import click
 
@@ -7,7 +7,7 @@
 def node() -> None:
     """Run the platform's controller that the file in PROXY_CONFIG describes, until SIGTERM or SIGINT.
 
-    SIGHUP reads the file again. `python -m herongap.node` is the same without the other commands' imports.
+    SIGHUP reloads the file. `python -m herongap.node` does the same and does not import the other commands.
     """
     from herongap.node.run import main
 
--- a/herongap/cli/records.py
+++ b/herongap/cli/records.py
@@ -1,4 +1,4 @@
-"""`replay` and `explain`: what a record of a front says."""
+"""The commands `replay` and `explain`, which read a record of a controller."""
 
 import sys
 from pathlib import Path
@@ -15,35 +15,35 @@
 @click.command()
 @click.argument("file", type=FILE)
 def replay(file: Path) -> None:
-    """Run the record FILE through the library alone and compare each decision.
+    """Replay the record FILE through the library and compare each decision.
 
-    Exit code 0 if all are the same, else 1 with the first that differs, 2 if FILE cannot be read.
+    Exit code 0 if all decisions are the same, 1 if one differs (the first is shown), 2 if FILE is unreadable.
     """
     try:
         with open(file, "rb") as lines:
-            inputs, decisions, found = run_record(lines)
-    except RecordError as fault:
-        click.echo(f"{file}: {fault}", err=True)
+            inputs, decisions, difference = run_record(lines)
+    except RecordError as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    if found:
-        click.echo(f"{file}: line {found.line}, at {found.now:.6f}: decisions differ")
-        click.echo(f"  recorded: {found.recorded}")
-        click.echo(f"  decided:  {found.decided}")
+    if difference:
+        click.echo(f"{file}: line {difference.line}, at {difference.now:.6f}: decisions differ")
+        click.echo(f"  recorded: {difference.recorded}")
+        click.echo(f"  decided:  {difference.decided}")
         sys.exit(1)
     click.echo(f"{file}: {inputs} inputs, {decisions} decisions, all the same")
 
 
 @click.command()
 @click.argument("file", type=FILE)
-@click.option("--viewing", required=True, help="The viewing, as the log names it, such as v0-17.")
+@click.option("--viewing", required=True, help="The ID of the viewing in the log, such as v0-17.")
 def explain(file: Path, viewing: str) -> None:
-    """Say what happened to one viewing of the record FILE, and what was known when it was placed."""
+    """Show what happened to a viewing in the record FILE and the state on which its placement was based."""
     try:
         with open(file, "rb") as lines:
-            told = list(explain_record(lines, viewing))
-    except RecordError as fault:
-        click.echo(f"{file}: {fault}", err=True)
+            explanation = list(explain_record(lines, viewing))
+    except RecordError as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(2)
-    if not told:
-        raise click.ClickException(f"{file} knows no viewing {viewing!r}")
-    click.echo("\n".join(told))
+    if not explanation:
+        raise click.ClickException(f"{file} contains no viewing {viewing!r}")
+    click.echo("\n".join(explanation))
--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`, `check` and `demo`: running a front."""
+"""The commands `serve`, `check` and `demo`, which run a controller or check its files."""
 
 import json
 import tempfile
@@ -15,52 +15,53 @@
 
 
 def load(file: Path) -> SiteConfig:
-    """The site of a file, or the program's end with all that is wrong with it."""
+    """Read a controller's file; ends the command with all errors if it is invalid."""
     try:
         return read_site_config(file)
-    except ConfigFileError as faults:
-        raise command_failure(faults) from faults
+    except ConfigFileError as error:
+        raise command_failure(error) from error
 
 
 @click.command()
 @click.argument("file", type=FILE)
 def serve(file: Path) -> None:
-    """Run the front that FILE (INI) describes, until SIGTERM or SIGINT.
+    """Run the controller that FILE (INI) describes, until SIGTERM or SIGINT.
 
-    The first signal takes no new viewings, answers all that were taken and ends; a second one ends at once.
+    After the first signal it accepts no new viewings, answers the accepted ones and exits; a second signal
+    makes it exit at once.
     """
     site = load(file)
     observe.configure_logging(site.front.log_level, site.front.log_format, site.front.log_to)
     try:
         daemon = Daemon(site)
         daemon.start()
-    except (OSError, ValueError) as fault:
-        raise command_failure(fault, "cannot start: ") from fault
+    except (OSError, ValueError) as error:
+        raise command_failure(error, "cannot start: ") from error
     run_until_signal(daemon)
 
 
 @click.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Check FILE, its list of streamers and its catalogue; every error is told, exit code 1 if there is
-    one.
-    """
+    """Check FILE, its streamer list and its catalogue; prints every error, exit code 1 if there is one."""
     site = load(file)
-    faults = []
+    errors = []
     files = [(site.catalogue.file, read_catalogue)]
     if site.streamers.list:
         files.insert(0, (site.streamers.list, lambda data: read_list(data, 0.0)))
     for path, read in files:
         try:
             read(Path(path).read_bytes())
-        except (OSError, ValueError) as fault:
-            faults.append(f"{path}: {fault}")
-    if faults:
-        raise click.ClickException("\n".join(faults))
-    click.echo(f"{file}: fine, {len(site.deployment.packages)} packages, {len(site.deployment.ladder)} rungs")
+        except (OSError, ValueError) as error:
+            errors.append(f"{path}: {error}")
+    if errors:
+        raise click.ClickException("\n".join(errors))
+    click.echo(
+        f"{file}: valid, {len(site.deployment.packages)} packages, {len(site.deployment.ladder)} rungs"
+    )
 
 
-DEMO = """
+DEMO_CONFIG = """
 [front]
 listen = 127.0.0.1:{port}
 log_level = {level}
@@ -100,42 +101,47 @@
 
 
 @click.command()
-@click.option("--port", default=0, show_default="any free one", help="Port of the front on 127.0.0.1.")
-@click.option("--streamers", default=6, show_default=True, help="How many stand-in streamers to run.")
+@click.option("--port", default=0, show_default="any free one", help="Port of the controller on 127.0.0.1.")
+@click.option("--streamers", default=6, show_default=True, help="How many simulated streamers to run.")
 @click.option("--log-level", default="warning", type=click.Choice(["debug", "info", "warning", "error"]))
 def demo(port: int, streamers: int, log_level: str) -> None:
-    """Run a front with stand-in streamers in one process, on loopback, until SIGTERM or SIGINT.
+    """Run a controller with simulated streamers in one process, on loopback, until SIGTERM or SIGINT.
 
-    The first line of output tells where it listens. Titles "1" to "20" are served at /whep/TITLE,
-    /whip/TITLE and /dash/TITLE, without credentials. No media flows: WHEP and WHIP are signalling alone, DASH
-    segments are a thousandth of the bytes that they would be, and all zero.
+    The first line of output contains the address. Titles "1" to "20" are served at /whep/TITLE, /whip/TITLE
+    and /dash/TITLE, without credentials. No media is sent: WHEP and WHIP are signalling only, and DASH
+    segments contain a thousandth of the usual number of bytes, all of them zero.
     """
     from herongap.standins import Farm, Kind, Streamer
     from herongap.standins.farm import Log
 
     observe.configure_logging(log_level, "console", "-")
-    with tempfile.TemporaryDirectory(prefix="herongap-demo-") as folder:
-        near = Path(folder)
+    with tempfile.TemporaryDirectory(prefix="herongap-demo-") as name:
+        folder = Path(name)
         kind = Kind((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
         farm = Farm(kind, Log(lambda line: None), seed=1)
-        all_of_them = [Streamer(farm, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
-        lines = [
-            {"id": st.name, "url": "http://{}:{}".format(*st.address), "zone": "a", "rack": f"rack{i % 2}"}
-            for i, st in enumerate(all_of_them)
+        simulated_streamers = [Streamer(farm, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
+        entries = [
+            {
+                "id": streamer.name,
+                "url": "http://{}:{}".format(*streamer.address),
+                "zone": "a",
+                "rack": f"rack{i % 2}",
+            }
+            for i, streamer in enumerate(simulated_streamers)
         ]
-        (near / "streamers.json").write_text(json.dumps({"streamers": lines}))
-        names = [st.name for st in all_of_them]
+        (folder / "streamers.json").write_text(json.dumps({"streamers": entries}))
+        names = [streamer.name for streamer in simulated_streamers]
         titles = {
             str(n): [names[(n + i) % len(names)] for i in range(min(4, len(names)))] for n in range(1, 21)
         }
-        (near / "catalogue.json").write_text(json.dumps({"titles": titles}))
-        (near / "front.ini").write_text(DEMO.format(port=port, level=log_level))
+        (folder / "catalogue.json").write_text(json.dumps({"titles": titles}))
+        (folder / "front.ini").write_text(DEMO_CONFIG.format(port=port, level=log_level))
         try:
-            daemon = Daemon(load(near / "front.ini"))
+            daemon = Daemon(load(folder / "front.ini"))
             daemon.start()
-        except OSError as fault:
-            raise command_failure(fault, "cannot start: ") from fault
-        for st in all_of_them:
-            st.segments.fronts = [daemon.address]
+        except OSError as error:
+            raise command_failure(error, "cannot start: ") from error
+        for streamer in simulated_streamers:
+            streamer.segments.fronts = [daemon.address]
         run_until_signal(daemon)
         farm.close()
--- a/herongap/cli/token.py
+++ b/herongap/cli/token.py
@@ -1,4 +1,4 @@
-"""`token`: session tokens and the keys that sign them."""
+"""The command `token`: session tokens and the keys that sign them."""
 
 import json
 import sys
@@ -16,16 +16,20 @@
     type=click.Path(file_okay=False, path_type=Path),
     help="The key folder.",
 )
-ROTATE = click.option("--rotate", default=86400.0, show_default=True, help="Seconds for which a key signs.")
-AHEAD = click.option("--ahead", default=300.0, show_default=True, help="Seconds it is published before that.")
+ROTATE = click.option(
+    "--rotate", default=86400.0, show_default=True, help="Seconds for which a key signs tokens."
+)
+AHEAD = click.option(
+    "--ahead", default=300.0, show_default=True, help="Seconds for which a key is published before it signs."
+)
 LONGEST = click.option(
-    "--longest", default=600.0, show_default=True, help="Seconds that a token lasts at most."
+    "--longest", default=600.0, show_default=True, help="Longest lifetime of a token in seconds."
 )
 
 
 @click.group()
 def token() -> None:
-    """Session tokens of the DASH front, and the keys that sign them."""
+    """Create and check session tokens of the DASH service, and show the keys that sign them."""
 
 
 def _load(folder: Path, rotate: float, ahead: float, longest: float):
@@ -34,8 +38,8 @@
     try:
         keys = KeyStore(folder, rotate, ahead, longest)
         keys.load(time.time())
-    except (OSError, ValueError) as fault:
-        raise command_failure(fault) from fault
+    except (OSError, ValueError) as error:
+        raise command_failure(error) from error
     return keys
 
 
@@ -44,15 +48,15 @@
 @ROTATE
 @AHEAD
 @LONGEST
-@click.option("--jwks", is_flag=True, help="Only the JWK set that streamers are to know.")
+@click.option("--jwks", is_flag=True, help="Print only the JWK set for streamers.")
 def keys(folder: Path, rotate: float, ahead: float, longest: float, jwks: bool) -> None:
-    """Tell the keys of a folder and what each is for; makes one if one is due. Never tells a private half."""
-    held, now = _load(folder, rotate, ahead, longest), time.time()
+    """Show the public keys of a folder and their use, never private keys; creates a key if one is due."""
+    key_store, now = _load(folder, rotate, ahead, longest), time.time()
     if jwks:
-        click.echo(json.dumps(held.jwks(now)))
+        click.echo(json.dumps(key_store.jwks(now)))
         return
-    signing = held.rotation.signing_key(now)
-    for key in held.rotation.published_keys(now):
+    signing = key_store.rotation.signing_key(now)
+    for key in key_store.rotation.published_keys(now):
         use = (
             "signs"
             if key == signing
@@ -76,7 +80,7 @@
 @click.option("--rungs", default="0-0", show_default=True, help="FLOOR-TOP")
 @click.option("--seconds", default=60.0, show_default=True)
 def mint_(folder, rotate, ahead, longest, viewing, title, streamer, package, member, rungs, seconds) -> None:
-    """Make a token, for trying a streamer by hand."""
+    """Create a token to test a streamer manually."""
     from herongap.dash import TokenClaims
 
     floor, _, top = rungs.partition("-")
@@ -85,8 +89,8 @@
     if not 0 < seconds <= longest:
         raise click.UsageError(f"--seconds: above 0, at most --longest ({longest:g})")
     now = time.time()
-    grant = TokenClaims(viewing, title, package, member, int(floor), int(top), streamer, now, now + seconds)
-    click.echo(_load(folder, rotate, ahead, longest).mint(now, grant))
+    claims = TokenClaims(viewing, title, package, member, int(floor), int(top), streamer, now, now + seconds)
+    click.echo(_load(folder, rotate, ahead, longest).mint(now, claims))
 
 
 @token.command()
@@ -95,14 +99,14 @@
 @click.option("--streamer", required=True)
 @click.option("--title", required=True)
 def verify(word: str, jwks: Path, streamer: str, title: str) -> None:
-    """Check a token as a streamer does; exit code 1 and the reason if it is not taken."""
+    """Verify the token WORD as a streamer does; exit code 1 and the reason if it is rejected."""
     from herongap.dash import TokenError, TokenVerifier
 
     try:
-        grant = TokenVerifier(streamer, json.loads(jwks.read_text())).verify(time.time(), word, title)
-    except ValueError as fault:
-        raise command_failure(fault, f"{jwks}: ") from fault
-    except TokenError as why:
-        click.echo(f"refused: {why.kind}" + (f" {why.kid!r}" if why.kid else ""), err=True)
+        claims = TokenVerifier(streamer, json.loads(jwks.read_text())).verify(time.time(), word, title)
+    except ValueError as error:
+        raise command_failure(error, f"{jwks}: ") from error
+    except TokenError as rejection:
+        click.echo(f"rejected: {rejection.kind}" + (f" {rejection.kid!r}" if rejection.kid else ""), err=True)
         sys.exit(1)
-    click.echo(json.dumps(grant._asdict()))
+    click.echo(json.dumps(claims._asdict()))
--- a/herongap/ini/sections.py
+++ b/herongap/ini/sections.py
@@ -47,7 +47,7 @@
 
 def _check_prefix(value: str) -> str:
     if not value.startswith("/") or not value.endswith("/"):
-        raise SettingValueError("a prefix must begin and end with /")
+        raise SettingValueError("a prefix begins and ends with /")
     return value
 
 
