--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One profile for properties, the same examples every time; and the tests that are known to be red."""
+"""The hypothesis profile, with the same examples in every run, and the tests that are known to fail."""
 
 import pytest
 from hypothesis import settings
@@ -6,16 +6,16 @@
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 settings.load_profile("ci")
 
-MOST = 3  # tests that may be red at a time
+MAX_KNOWN_RED = 3  # entries of KNOWN-RED.txt
 
 
-def known_red(root) -> list[tuple[str, str, str]]:
-    """The lines of KNOWN-RED.txt, `test | cause | issue` each; raises UsageError where one is not so."""
+def read_known_red(root) -> list[tuple[str, str, str]]:
+    """The entries of KNOWN-RED.txt, `test | cause | issue` each; raises UsageError for an invalid one."""
     file = root / "KNOWN-RED.txt"
     lines = [line.strip() for line in file.read_text().splitlines()] if file.exists() else []
     entries = [tuple(part.strip() for part in line.split("|")) for line in lines if line]
-    if len(entries) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} lines, {MOST} at most")
+    if len(entries) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(entries)} lines, {MAX_KNOWN_RED} at most")
     if bad := [entry for entry in entries if len(entry) != 3 or not all(entry)]:
         raise pytest.UsageError(f"KNOWN-RED.txt: not `test | cause | issue`: {bad[0]}")
     return entries
@@ -23,17 +23,18 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config, items):
-    """What is listed is run and has to fail: one that passes again fails the run until its line goes."""
-    for test, cause, issue in known_red(config.rootpath):
-        named = [item for item in items if item.nodeid == test or item.nodeid.startswith(test + "[")]
-        for item in named:
+    """Expect listed tests to fail; one that passes fails the run until its entry is removed."""
+    for test, cause, issue in read_known_red(config.rootpath):
+        matching = [item for item in items if item.nodeid == test or item.nodeid.startswith(test + "[")]
+        for item in matching:
             item.add_marker(pytest.mark.xfail(reason=f"{cause} (issue {issue})", strict=True))
         file, _, name = test.partition("::")
         path = config.rootpath / file
-        if not named and not (path.is_file() and f"def {name}(" in path.read_text()):
+        if not matching and not (path.is_file() and f"def {name}(" in path.read_text()):
             raise pytest.UsageError(f"KNOWN-RED.txt: there is no test {test}")
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for test, cause, issue in known_red(config.rootpath):
+    """Print the known failures at the end of each run."""
+    for test, cause, issue in read_known_red(config.rootpath):
         terminalreporter.write_line(f"known red: {test}: {cause} (issue {issue})")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -22,7 +22,7 @@
     world.until(lambda: world.resolver.query_count > 1)
     world.resolver.filter_answer = lambda data: None
     idle = []
-    for i in range(300):  # at once, and far more than there are descriptors
+    for i in range(300):  # at once, and more than the 128 descriptors
         idle.append(PlainPeer(world.address))
         if i % 3:
             idle[-1].send(t="hb", ref=f"{i:016x}", c=0)  # two of three send a valid message
--- a/tests/test_source_tree.py
+++ b/tests/test_source_tree.py
@@ -1,4 +1,4 @@
-"""Checks over the whole source tree: the files named in the deploy file, and the types of errors."""
+"""Checks of the whole source tree: the files listed in the deployment file, and the error types."""
 
 import ast
 import builtins
@@ -15,15 +15,15 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_the_module_is_named_whole_in_the_deploy_file():
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert told and sorted(told) == sorted(
-        str(p.relative_to(ROOT)) for p in (ROOT / "herongap/rules").glob("*.py")
+def test_deployment_file_lists_all_files_of_the_module():
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert listed and sorted(listed) == sorted(
+        str(path.relative_to(ROOT)) for path in (ROOT / "herongap/rules").glob("*.py")
     )
 
 
-def bare(tree):
-    """Raised types that are Python's own, but for those of the system's calls."""
+def builtin_errors_raised(tree):
+    """Line and name of each raised built-in exception other than OSError and AssertionError."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Raise) and node.exc is not None:
             called = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
@@ -32,33 +32,44 @@
                 yield node.lineno, called.id
 
 
-def test_every_error_has_a_type_of_its_own():
+def test_no_built_in_exception_is_raised():
     files = list((ROOT / "herongap").rglob("*.py"))
-    found = {str(p.relative_to(ROOT)): list(bare(ast.parse(p.read_text()))) for p in files}
+    found = {
+        str(path.relative_to(ROOT)): list(builtin_errors_raised(ast.parse(path.read_text())))
+        for path in files
+    }
     assert len(found) > 100 and not {name: lines for name, lines in found.items() if lines}
-    assert list(bare(ast.parse("raise ValueError('x')"))) == [(1, "ValueError")], "and the walk finds one"
+    assert list(builtin_errors_raised(ast.parse("raise ValueError('x')"))) == [(1, "ValueError")], (
+        "the check detects a built-in exception"
+    )
 
 
-def every(kind):
-    return {kind} | {below for sub in kind.__subclasses__() for below in every(sub)}
+def with_subclasses(error_type):
+    return {error_type} | {
+        below for subclass in error_type.__subclasses__() for below in with_subclasses(subclass)
+    }
 
 
-def test_every_error_says_what_can_be_done():
+def test_every_error_type_has_specific_advice():
     for module in pkgutil.walk_packages(herongap.__path__, "herongap."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
-    kinds = {kind for kind in every(HerongapError) if kind.__module__.startswith("herongap.")}
-    assert len(kinds) > 30
+    error_types = {
+        error_type
+        for error_type in with_subclasses(HerongapError)
+        if error_type.__module__.startswith("herongap.")
+    }
+    assert len(error_types) > 30
     general = {HerongapError.advice, UnusableInputError.advice}
-    for kind in kinds - {HerongapError, UnusableInputError, InternalMisuseError}:
-        assert kind.advice and kind.advice not in general, kind
+    for error_type in error_types - {HerongapError, UnusableInputError, InternalMisuseError}:
+        assert error_type.advice and error_type.advice not in general, error_type
 
 
-def test_a_command_ends_with_cause_advice_and_a_status_by_kind():
+def test_failed_command_shows_cause_and_advice_and_exits_with_the_status_of_the_error():
     from herongap.cli.errors import command_failure
 
-    for kind, status in ((UnusableInputError, 1), (InternalMisuseError, 70), (HerongapError, 69)):
-        shown = command_failure(kind("no such thing", "look there"), "cannot start: ")
-        assert shown.exit_code == status and shown.message == "cannot start: no such thing\nlook there"
+    for error_type, status in ((UnusableInputError, 1), (InternalMisuseError, 70), (HerongapError, 69)):
+        failure = command_failure(error_type("no such thing", "look there"), "cannot start: ")
+        assert failure.exit_code == status and failure.message == "cannot start: no such thing\nlook there"
     with pytest.raises(ValueError, match="seen"):
         raise UnusableInputError("seen")
