--- a/herongap/daemon/http_connection.py
+++ b/herongap/daemon/http_connection.py
@@ -296,6 +296,7 @@
         return False
 
     def close(self) -> None:
+        """Close the connection."""
         with suppress(OSError):
             self.sock.close()
 
--- a/herongap/daemon/streamer_events.py
+++ b/herongap/daemon/streamer_events.py
@@ -22,7 +22,12 @@
 
 
 class StreamerEventListener(Protocol):
-    """Receives what streamers report."""
+    """Receives what streamers report.
+
+    A share is the part of its load that a streamer delivers, 0 to 1; a load is the ratio of demand to
+    capacity of its link or of its rack's uplink. A session that ended is named by its resource at the
+    streamer, a streamer that was lost with the target of its event stream.
+    """
 
     def on_share_reported(self, streamer: Id, share: float) -> None: ...
 
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -60,6 +60,7 @@
     # The methods of `herongap.host.Port`.
 
     def tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
+        """Send a tune-in in its own greenlet; its result is reported to the host."""
         log.debug(
             "tune-in",
             viewing=request.viewing,
@@ -77,10 +78,12 @@
         gevent.spawn(self._tune_in, request, number, streamer, rung, time_out)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
+        """Half-close the connection of a tune-in, so that the streamer can see that it was called off."""
         if connection := self.tune_in_connections.get((viewing, number)):
             connection.half_close()
 
     def set_rung(self, viewing: Id, number: int, streamer: Id, rung: int) -> None:
+        """Set the rung of a playing viewing at its streamer; only the newest pending rung is sent."""
         session = self.sessions[viewing]
         session.pending_rung = rung
         self._write_journal(viewing, Known.PLAYING)
@@ -89,11 +92,13 @@
             gevent.spawn(self._set_rung, session, number)
 
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
+        """Delete a session at its streamer; the host is told when that is done, if it is `wanted`."""
         if wanted:
             self._write_journal(viewing, Known.CLOSING)
         gevent.spawn(self._tear_down, viewing, number, streamer, wanted)
 
     def answer(self, viewing: Id, answer: Answer) -> None:
+        """Give the viewer the answer to its request."""
         session = self.sessions[viewing]
         log.info(
             "answered",
@@ -119,6 +124,7 @@
         session.closed.set()
 
     def viewing_ended(self, viewing: Id, reason: EndReason) -> None:
+        """Close the session of a viewing that played and has ended."""
         if session := self.sessions.get(viewing):
             log.info(
                 "ended",
@@ -131,19 +137,23 @@
                 self._unsubscribe_if_unused(session.remote)
 
     def probe(self, streamer: Id) -> None:
+        """Request the load of a streamer; the result is reported to the host."""
         gevent.spawn(self._probe, streamer)
 
     def follow(self) -> None:
         """Do nothing: the streamer list is followed from the start, and its source retries by itself."""
 
     def send_to_peer(self, peer: int, words: bytes) -> None:
+        """Log that messages to other controllers are not supported."""
         log.warning("messages to other controllers are not supported", peer=peer)
 
     def request_budget(self, budget: str) -> None:
+        """Request a larger share of a fleet budget."""
         if self.budgets:
             self.budgets.request_more(budget)
 
     def wake(self, at: float) -> None:
+        """Set the time at which the host is woken."""
         self.timer.set(at)
 
     def _write_journal(self, viewing: Id, stage: Known) -> None:
@@ -355,9 +365,11 @@
             subscription.stop()
 
     def on_share_reported(self, streamer: Id, share: float) -> None:
+        """Report the share of its load that a streamer delivers."""
         self.host.share_told(self.clock(), streamer, share)
 
     def on_load_reported(self, streamer: Id, uplink: bool, ratio: float) -> None:
+        """Report the load of a streamer's link, or of its rack's uplink."""
         self.host.load_told(self.clock(), streamer, uplink, None, ratio)
 
     def on_session_ended(self, streamer: Id, resource: str, reason: EndReason) -> None:
