--- a/herongap/accord/__init__.py
+++ b/herongap/accord/__init__.py
@@ -1,11 +1,21 @@
-"""What controllers settle among themselves, through a store with compare-and-swap. No I/O, no clock.
+"""Shared budgets of the controllers, coordinated through a store with compare-and-swap. No I/O, no clock.
 
-The store is the only thing that votes. Whoever uses these machines carries their commits to it, tells them
-what was answered and what was read, and asks again just before an effect leaves.
+The store is the only arbiter. The caller sends the commits of these state machines to the store, passes on
+its replies and what was read, and checks again just before a counted effect is sent.
 """
 
-from herongap.accord.ledger import Commit, Ledger, Outcome
-from herongap.accord.shares import Division, Kind, Part, Shares, Terms
-from herongap.accord.tally import Tally
+from herongap.accord.document import Commit, CommitOutcome, SharedDocument
+from herongap.accord.shares import Allocation, Allotment, BudgetKind, BudgetShare, BudgetTerms
+from herongap.accord.usage import UsageCounter
 
-__all__ = ["Commit", "Division", "Kind", "Ledger", "Outcome", "Part", "Shares", "Tally", "Terms"]
+__all__ = [
+    "Allocation",
+    "Allotment",
+    "BudgetKind",
+    "BudgetShare",
+    "BudgetTerms",
+    "Commit",
+    "CommitOutcome",
+    "SharedDocument",
+    "UsageCounter",
+]
--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -7,7 +7,7 @@
 import h11
 import structlog
 
-from herongap.accord import Terms
+from herongap.accord import BudgetTerms
 from herongap.daemon.budgets import Budgets
 from herongap.daemon.file_watcher import epoch_on_clock
 from herongap.daemon.http_connection import ClientConnection, ConnectionPool, PeerDisconnectedError
@@ -22,7 +22,7 @@
     MessageOutcome,
     NextAction,
     PrefixFollower,
-    Registry,
+    RegistryState,
 )
 from herongap.etcd import messages as m
 from herongap.etcd.keys import update_value
@@ -101,7 +101,7 @@
     """
 
     def __init__(self, settings: Etcd, number: int, expected: int, seed: int, name: str, clock: Callable,
-                 on_list_change: Callable, on_rank_change: Callable, budgets: tuple[Terms, ...] = (),
+                 on_list_change: Callable, on_rank_change: Callable, budgets: tuple[BudgetTerms, ...] = (),
                  on_room_change: Callable = lambda name, room: None):  # fmt: skip
         self.settings, self.name, self.clock = settings, name, clock
         self.on_list_change, self.on_rank_change = on_list_change, on_rank_change
@@ -110,7 +110,7 @@
         # Separate for writes: a member cut off from its peers still serves what it had, but takes no writes.
         self.write_endpoints = EndpointSelector(settings.endpoints, seed)
         self.follower = PrefixFollower()
-        self.directory = Registry(settings.prefix, epoch_on_clock(clock))
+        self.directory = RegistryState(settings.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, settings.ttl)
         self.claim_key = f"{settings.prefix}controllers/{number}"
         self.claim_revision, self.renewal_failing = -1, False
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from herongap.daemon.listen import Address, read_address
-from herongap.gossip import Gossip, Standing, Terms, Word
+from herongap.gossip import Gossip, GossipConfig, MemberRecord, MemberStatus
 from herongap.ini.parts import GossipPart
 
 log = structlog.get_logger()
@@ -28,11 +28,11 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(read_address(part.listen))
         host, port = read_address(part.advertise) if part.advertise else self.sock.getsockname()
-        terms = Terms(every=part.every, patience=part.patience)
-        me = Word(number, incarnation, 0, Standing.ALIVE, host, port, zone)
-        self.protocol = Gossip(clock(), me, part.fleet, terms, seed)
-        self.protocol.known([read_address(seed) for seed in part.seeds])
-        self.reported_members: dict[int, tuple[int, Standing]] = {}
+        config = GossipConfig(probe_interval=part.every, ack_timeout=part.patience)
+        me = MemberRecord(number, incarnation, 0, MemberStatus.ALIVE, host, port, zone)
+        self.protocol = Gossip(clock(), me, part.fleet, config, seed)
+        self.protocol.set_seeds([read_address(seed) for seed in part.seeds])
+        self.reported_members: dict[int, tuple[int, MemberStatus]] = {}
         self.reported_changes = -1  # the membership's change counter when it was last reported
 
     def run(self) -> None:
@@ -52,7 +52,7 @@
             except OSError:
                 return
             try:
-                self.send(self.protocol.heard(self.clock(), data, sender))
+                self.send(self.protocol.receive(self.clock(), data, sender))
             except Exception:
                 log.exception("internal error while processing a datagram; it is dropped", peer=sender[0])
 
@@ -65,17 +65,17 @@
         self._report_changes()
 
     def _report_changes(self) -> None:
-        if self.reported_changes == self.protocol.book.changes:
+        if self.reported_changes == self.protocol.members.change_count:
             return
-        self.reported_changes = self.protocol.book.changes
-        now = {n: (x.life, Standing(x.standing)) for n, x in self.protocol.book.words.items()}
+        self.reported_changes = self.protocol.members.change_count
+        now = {n: (x.incarnation, MemberStatus(x.status)) for n, x in self.protocol.members.records.items()}
         if now == self.reported_members:
             return
         for number in now.keys() | self.reported_members.keys():
             if now.get(number) != self.reported_members.get(number):
                 incarnation, status = now.get(number, (0, None))
                 status_name = status.name.lower() if status is not None else "forgotten"
-                write_log = log.debug if status == Standing.SUSPECT else log.info
+                write_log = log.debug if status == MemberStatus.SUSPECT else log.info
                 write_log("member", number=number, life=incarnation, standing=status_name)
         self.reported_members = now
         self.on_change()
@@ -84,13 +84,13 @@
         """Return the members and their status, for operators."""
         g, now = self.protocol, self.clock()
         members = {
-            str(n): {"life": x.life, "standing": Standing(x.standing).name.lower(), "zone": x.zone,
+            str(n): {"life": x.incarnation, "standing": MemberStatus(x.status).name.lower(), "zone": x.zone,
                      "at": f"{x.host}:{x.port}"}
-            for n, x in sorted(g.book.words.items())
+            for n, x in sorted(g.members.records.items())
         }  # fmt: skip
         return {
-            "members": members, "live": sum(1 for _ in g.book.live()), "deaf": g.deaf(now),
-            "unheard_by": sorted(g.one_sided(now)), "health": g.health, "counts": g.counts,
+            "members": members, "live": sum(1 for _ in g.members.live()), "deaf": g.unheard(now),
+            "unheard_by": sorted(g.unheard_by(now)), "health": g.health, "counts": g.counts,
         }  # fmt: skip
 
     def leave(self) -> None:
--- a/herongap/daemon/journal.py
+++ b/herongap/daemon/journal.py
@@ -22,7 +22,7 @@
 from herongap.daemon.quarantine import quarantine
 from herongap.errors import HerongapError
 from herongap.interface import ViewingRequest
-from herongap.state import Known
+from herongap.state import ViewingStage
 
 FORMAT = 1
 MAP_SIZE_BYTES = 512 << 20  # a viewing takes about 1 kB
@@ -35,7 +35,7 @@
     `repeat_key` and `digest` identify a repeated request, `remote` holds the fields of its `RemoteSession`.
     """
 
-    stage: Known
+    stage: ViewingStage
     request: ViewingRequest
     number: int
     streamer: int | str
--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -15,7 +15,7 @@
 from herongap.daemon.session_service import SessionService
 from herongap.host import Answer
 from herongap.interface import EndReason
-from herongap.state import Fate, Found, Kept, Known, reconcile
+from herongap.state import JournaledViewing, RecoveryAction, StreamerSession, ViewingStage, reconcile
 
 MAX_CONCURRENT_CHECKS = 20  # sessions checked at one time: new viewings have precedence
 ATTEMPTS, RETRY_SECONDS = 3, 0.4  # for a streamer that does not answer
@@ -52,7 +52,7 @@
         self._await_list(entries)
         checks = GreenletPool(MAX_CONCURRENT_CHECKS)
         # Playing viewings first, the most valuable ones before the others.
-        entries.sort(key=lambda e: (e.stage is not Known.PLAYING, -self._value(e)))
+        entries.sort(key=lambda e: (e.stage is not ViewingStage.PLAYING, -self._value(e)))
         checks.map(self._settle, entries)
         if entries:
             log.info("recovered", seconds=round(time.monotonic() - began, 3), **self.counts)
@@ -70,19 +70,21 @@
     def _settle(self, entry: JournalEntry) -> None:
         viewing, session = entry.request.viewing, self.port.sessions[entry.request.viewing]
         exists = self._exists(session)
-        kept = Kept(viewing, entry.number, entry.streamer, entry.stage, entry.rung, self._value(entry))
-        found = {entry.streamer: [Found(viewing, entry.number, entry.rung)] if exists else []}
-        ((fate, _, _),) = reconcile([kept], found if exists is not None else {entry.streamer: None})
+        journaled = JournaledViewing(
+            viewing, entry.number, entry.streamer, entry.stage, entry.rung, self._value(entry)
+        )
+        found = {entry.streamer: [StreamerSession(viewing, entry.number, entry.rung)] if exists else []}
+        ((action, _, _),) = reconcile([journaled], found if exists is not None else {entry.streamer: None})
         adoptable = entry.protocol != "dash" and entry.request.package in self.service.packages
-        if fate is Fate.ADOPT and adoptable:
+        if action is RecoveryAction.ADOPT and adoptable:
             self._adopt(entry, session)
             return
-        if session.remote and fate in (Fate.ADOPT, Fate.END, Fate.WAIT):
+        if session.remote and action in (RecoveryAction.ADOPT, RecoveryAction.END, RecoveryAction.WAIT):
             # The streamer may have given no answer and still play it: it is torn down, because this
             # controller no longer controls it.
             self.port.remote_sessions[viewing, entry.number] = session.remote
             self.port.tear_down(viewing, entry.number, entry.streamer, False)
-        self._release(session, "gone" if fate is Fate.GONE else "ended")
+        self._release(session, "gone" if action is RecoveryAction.RELEASE else "ended")
 
     def _exists(self, session: Session) -> bool | None:
         if session.remote is None:
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -22,7 +22,7 @@
 from herongap.http import Reply
 from herongap.interface import EndReason, LoadReport, ViewingRequest
 from herongap.orca import LOAD_HEADER, read_load
-from herongap.state import Known
+from herongap.state import ViewingStage
 from herongap.whep import write_layer
 
 Id = int | str
@@ -74,7 +74,7 @@
             self.budgets.reserve(
                 (request.viewing, number), self.host.viewings[request.viewing].charged_budgets
             )
-        self._write_journal(request.viewing, Known.SENT)
+        self._write_journal(request.viewing, ViewingStage.SENT)
         gevent.spawn(self._tune_in, request, number, streamer, rung, time_out)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
@@ -86,7 +86,7 @@
         """Set the rung of a playing viewing at its streamer; only the newest pending rung is sent."""
         session = self.sessions[viewing]
         session.pending_rung = rung
-        self._write_journal(viewing, Known.PLAYING)
+        self._write_journal(viewing, ViewingStage.PLAYING)
         if not session.setting_rung:
             session.setting_rung = True
             gevent.spawn(self._set_rung, session, number)
@@ -94,7 +94,7 @@
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
         """Delete a session at its streamer; the host is told when that is done, if it is `wanted`."""
         if wanted:
-            self._write_journal(viewing, Known.CLOSING)
+            self._write_journal(viewing, ViewingStage.CLOSING)
         gevent.spawn(self._tear_down, viewing, number, streamer, wanted)
 
     def answer(self, viewing: Id, answer: Answer) -> None:
@@ -111,7 +111,7 @@
         if answer.verdict != "plays":
             self.forget(session, played=False)
             return
-        self._write_journal(viewing, Known.PLAYING)
+        self._write_journal(viewing, ViewingStage.PLAYING)
         session.answered.set()
 
     def forget(self, session: Session, played: bool = True) -> None:
@@ -156,7 +156,7 @@
         """Set the time at which the host is woken."""
         self.timer.set(at)
 
-    def _write_journal(self, viewing: Id, stage: Known) -> None:
+    def _write_journal(self, viewing: Id, stage: ViewingStage) -> None:
         """Record a viewing in the journal, before the effect that depends on it."""
         if self.journal is None or (session := self.sessions.get(viewing)) is None:
             return
