--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -104,7 +104,7 @@
     from herongap.daemon.listen import read_address
 
     try:
-        return json.loads(request_once(read_address(address), "GET", "/list", time_out=3.0).body)
+        return json.loads(request_once(read_address(address), "GET", "/list", timeout=3.0).body)
     except (*NETWORK_ERRORS, ValueError) as fault:
         click.echo(f"the controller at {address} does not answer: {fault!r}", err=True)
         sys.exit(2)
--- a/herongap/daemon/http_connection.py
+++ b/herongap/daemon/http_connection.py
@@ -217,9 +217,12 @@
 class ClientConnection:
     """A connection to a server, for one request at a time."""
 
-    def __init__(self, address: Address, connect: float):
-        """Connect, within `connect` seconds; raises OSError, in which case no byte of a request was sent."""
-        self.sock = socket.create_connection(address, timeout=connect)
+    def __init__(self, address: Address, connect_timeout: float):
+        """Connect, within `connect_timeout` seconds.
+
+        Raises OSError, in which case no byte of a request was sent.
+        """
+        self.sock = socket.create_connection(address, timeout=connect_timeout)
         self.sock.setsockopt(plain.IPPROTO_TCP, plain.TCP_NODELAY, 1)
         self.conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_REPLY_HEAD_BYTES)
         self.host = f"{address[0]}:{address[1]}"
@@ -235,12 +238,12 @@
         self.sock.settimeout(5.0)
         self.sock.sendall(out + self.conn.send(h11.EndOfMessage()))
 
-    def receive(self, time_out: float, max_size: int = 1 << 20) -> Reply:
+    def receive(self, timeout: float, max_size: int = 1 << 20) -> Reply:
         """Read the whole reply, at most `max_size` bytes of body.
 
         Raises OSError (TimeoutError, ConnectionResetError) or h11.RemoteProtocolError.
         """
-        deadline = time.monotonic() + time_out
+        deadline = time.monotonic() + timeout
         head, chunks = self.head(deadline), []
         while (chunk := self._data(deadline)) is not None:
             chunks.append(chunk)
@@ -301,13 +304,13 @@
             self.sock.close()
 
 
-def request_once(address: Address, method: str, target: str, headers=(), body: bytes = b"", time_out=5.0,
-              connect=1.0) -> Reply:  # fmt: skip
+def request_once(address: Address, method: str, target: str, headers=(), body: bytes = b"", timeout=5.0,
+              connect_timeout=1.0) -> Reply:  # fmt: skip
     """Send one request on a new connection and return its reply; raises as `ClientConnection` does."""
-    connection = ClientConnection(address, connect)
+    connection = ClientConnection(address, connect_timeout)
     try:
         connection.send(method, target, headers, body)
-        return connection.receive(time_out)
+        return connection.receive(timeout)
     finally:
         connection.close()
 
@@ -317,14 +320,14 @@
 
     MAX_IDLE = 8
 
-    def __init__(self, address: Address, connect: float):
-        self.address, self.connect, self.idle = address, connect, []
+    def __init__(self, address: Address, connect_timeout: float):
+        self.address, self.connect_timeout, self.idle = address, connect_timeout, []
 
     def call(
-        self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes, time_out: float
+        self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes, timeout: float
     ) -> Reply:
         """Send one request and return its reply; raises OSError or h11.RemoteProtocolError."""
-        deadline = time.monotonic() + time_out
+        deadline = time.monotonic() + timeout
         while self.idle:
             connection = self.idle.pop()
             try:
@@ -333,7 +336,7 @@
                 connection.close()  # an idle connection may have been closed unnoticed: retry on another one
                 if time.monotonic() >= deadline:
                     raise
-        connection = ClientConnection(self.address, min(self.connect, time_out))
+        connection = ClientConnection(self.address, min(self.connect_timeout, timeout))
         try:
             return self._exchange(connection, method, target, headers, body, deadline)
         except BaseException:
--- a/herongap/daemon/streamer_events.py
+++ b/herongap/daemon/streamer_events.py
@@ -44,9 +44,9 @@
     `name` is the controller's name, sent in the Via header.
     """
 
-    def __init__(self, listener: StreamerEventListener, name: str, connect: float, clock: Callable[[], float],
-                 streamer: Id, address: Address, target: str):  # fmt: skip
-        self.listener, self.name, self.connect, self.clock = listener, name, connect, clock
+    def __init__(self, listener: StreamerEventListener, name: str, connect_timeout: float,
+                 clock: Callable[[], float], streamer: Id, address: Address, target: str):  # fmt: skip
+        self.listener, self.name, self.connect_timeout, self.clock = listener, name, connect_timeout, clock
         self.streamer, self.address, self.target = streamer, address, target
         self.liveness = StreamerLiveness(clock())
         self.connection: ClientConnection | None = None
@@ -82,7 +82,7 @@
 
     def _read_stream(self) -> bool:
         """Read until the stream ends; True if the streamer does not know it (any more)."""
-        self.connection = ClientConnection(self.address, self.connect)
+        self.connection = ClientConnection(self.address, self.connect_timeout)
         via = [("Via", f"1.1 {self.name}")]
         self.connection.send("POST", self.target, [*via, ("Content-Type", "application/json")], EVENT_TYPES)
         created = self.connection.receive(2.0)
--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -42,8 +42,8 @@
     `targets` holds the path template of each protocol. A tune-in is identified by (viewing, number).
     """
 
-    def __init__(self, name: str, connect: float, targets: dict[str, str], clock=time.monotonic):
-        self.name, self.connect, self.targets, self.clock = name, connect, targets, clock
+    def __init__(self, name: str, connect_timeout: float, targets: dict[str, str], clock=time.monotonic):
+        self.name, self.connect_timeout, self.targets, self.clock = name, connect_timeout, targets, clock
         self.host: Host | None = None
         self.addresses: dict[Id, Address] = {}
         self.sessions: dict[Id, Session] = {}
@@ -59,7 +59,7 @@
 
     # The methods of `herongap.host.Port`.
 
-    def tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float) -> None:
+    def tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, timeout: float) -> None:
         """Send a tune-in in its own greenlet; its result is reported to the host."""
         log.debug(
             "tune-in",
@@ -67,7 +67,7 @@
             streamer=streamer,
             number=number,
             rung=rung,
-            time_out=round(time_out, 3),
+            time_out=round(timeout, 3),
         )
         self.tune_in_connections[request.viewing, number] = None
         if self.budgets:
@@ -75,7 +75,7 @@
                 (request.viewing, number), self.host.viewings[request.viewing].charged_budgets
             )
         self._write_journal(request.viewing, ViewingStage.SENT)
-        gevent.spawn(self._tune_in, request, number, streamer, rung, time_out)
+        gevent.spawn(self._tune_in, request, number, streamer, rung, timeout)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
         """Half-close the connection of a tune-in, so that the streamer can see that it was called off."""
@@ -180,9 +180,7 @@
     def _headers(self) -> list[tuple[str, str]]:
         return [("Via", f"1.1 {self.name}"), ("Accept", "*/*")]
 
-    def _tune_in(
-        self, request: ViewingRequest, number: int, streamer: Id, rung: int, time_out: float
-    ) -> None:
+    def _tune_in(self, request: ViewingRequest, number: int, streamer: Id, rung: int, timeout: float) -> None:
         viewing, tune_in = request.viewing, (request.viewing, number)
         session = self.sessions.get(viewing)
         reason, load, confirmed = EndReason.UNREACHED, None, True
@@ -191,7 +189,7 @@
                 return
             # A new connection: on a reused one, a reset could not be distinguished from one that came before
             # the request was read, and whether the request ran decides whether the package may repeat it.
-            connection = ClientConnection(self.addresses[streamer], min(self.connect, 0.9 * time_out))
+            connection = ClientConnection(self.addresses[streamer], min(self.connect_timeout, 0.9 * timeout))
             if not self._may_send(viewing, number):
                 connection.close()
                 reason, load = (
@@ -214,7 +212,7 @@
                 session.offer,
             )
             reason, confirmed = EndReason.BROKEN, False
-            reply = connection.receive(time_out + LATE_ANSWER_SECONDS)
+            reply = connection.receive(timeout + LATE_ANSWER_SECONDS)
             reason, load, remote = self._read(streamer, target, reply)
             confirmed = reply.status != 201 and reply.status < 500 or reason is EndReason.FULL
             if remote:
@@ -337,15 +335,13 @@
         """Forward a client's PATCH to its streamer; raises OSError, h11.ProtocolError or KeyError."""
         return self._call(remote.streamer, method, remote.path, body, FORWARD_SECONDS, headers)
 
-    def _call(
-        self, streamer: Id, method: str, target: str, body: bytes, time_out: float, headers=()
-    ) -> Reply:
+    def _call(self, streamer: Id, method: str, target: str, body: bytes, timeout: float, headers=()) -> Reply:
         pool = self._pool(self.addresses[streamer])
-        return pool.call(method, target, [*self._headers(), *headers], body, time_out)
+        return pool.call(method, target, [*self._headers(), *headers], body, timeout)
 
     def _pool(self, address: Address) -> ConnectionPool:
         if address not in self.pools:
-            self.pools[address] = ConnectionPool(address, self.connect)
+            self.pools[address] = ConnectionPool(address, self.connect_timeout)
         return self.pools[address]
 
     # Event streams: one per address that a streamer names, shared by the viewings that name it.
@@ -355,7 +351,9 @@
         key = remote.streamer, remote.events
         if remote.events and key not in self.subscriptions:
             source = remote.streamer, self.addresses[remote.streamer], remote.events
-            self.subscriptions[key] = EventSubscription(self, self.name, self.connect, self.clock, *source)
+            self.subscriptions[key] = EventSubscription(
+                self, self.name, self.connect_timeout, self.clock, *source
+            )
 
     def _unsubscribe_if_unused(self, remote: RemoteSession) -> None:
         key = remote.streamer, remote.events
--- a/herongap/standins/player.py
+++ b/herongap/standins/player.py
@@ -85,7 +85,7 @@
     def _fetch(self, target: str, patience: float) -> Reply | None:
         began, reply, kind = self.clock(), None, ""
         try:
-            reply = request_once(self.front, "GET", target, self.headers, time_out=patience)
+            reply = request_once(self.front, "GET", target, self.headers, timeout=patience)
         except TimeoutError:
             kind = "gave-up"
         except NETWORK as fault:
--- a/herongap/standins/segments.py
+++ b/herongap/standins/segments.py
@@ -106,7 +106,7 @@
     def _fetch_from(self, address: Address) -> bool:
         try:
             self.checker.set_keys(
-                json.loads(request_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body)
+                json.loads(request_once(address, "GET", KEYS, timeout=2.0, connect_timeout=0.5).body)
             )
             return True
         except (OSError, h11.ProtocolError, ValueError) as fault:
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -108,7 +108,7 @@
     def call(self, method: str, headers=(), body: bytes = b"", target: str | None = None) -> Reply:
         """Any other request to the front."""
         target = self.location if target is None else target
-        return request_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
+        return request_once(self.front, method, target, [*self.headers, *headers], body, connect_timeout=2.0)
 
     def trickle(self, tag: str | None = None) -> Reply:
         fragment = Fragment(self.me.ufrag, self.me.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -275,7 +275,7 @@
 
         def put_status(time_out=0.3):
             body = json.dumps({"key": "YQ==", "value": "MQ=="}).encode()
-            return request_once(relay.address, "POST", "/v3/kv/put", [], body, time_out=time_out).status
+            return request_once(relay.address, "POST", "/v3/kv/put", [], body, timeout=time_out).status
 
         assert put_status() == 200
         before = etcd.history.revision
