--- a/herongap/daemon/dash.py
+++ b/herongap/daemon/dash.py
@@ -67,8 +67,10 @@
 class DashService:
     """Serves /dash/TITLE, /manifests/SECRET and the key set."""
 
-    def __init__(self, settings: DashPart, service: SessionService, wall: Callable[[], float] = time.time):
-        self.settings, self.service, self.wall = settings, service, wall
+    def __init__(
+        self, settings: DashPart, service: SessionService, wall_clock: Callable[[], float] = time.time
+    ):
+        self.settings, self.service, self.wall_clock = settings, service, wall_clock
         self.keys = KeyStore(settings.keys, settings.rotate, settings.ahead, settings.token)
         self.players: OrderedDict[str, PlayerSession] = OrderedDict()
         self.players_by_key: dict[tuple, PlayerSession] = {}
@@ -78,7 +80,7 @@
 
     def load(self) -> None:
         """Read the keys and create one if it is due; raises OSError."""
-        self.keys.load(self.wall())
+        self.keys.load(self.wall_clock())
         self._loaded_at = self.service.clock()
 
     def handle(self, path: list[str], request: Request, peer: Peer) -> Reply | None:
@@ -86,7 +88,7 @@
         if path == [".well-known", "jwks.json"] and request.method in ("GET", "HEAD"):
             self._reload_keys_if_due()
             cache = ("Cache-Control", f"max-age={int(self.settings.ahead / 4)}")
-            keys = json.dumps(self.keys.jwks(self.wall())).encode()
+            keys = json.dumps(self.keys.jwks(self.wall_clock())).encode()
             return Reply(200, (("Content-Type", JSON), cache), keys)
         if len(path) != 2 or path[0] not in ("dash", "manifests") or not path[1]:
             return None
@@ -210,7 +212,7 @@
 
     def _write(self, player: PlayerSession, session: Session, hosted, request: Request) -> Reply:
         self._reload_keys_if_due()
-        now, package = self.wall(), self.service.packages[player.package]
+        now, package = self.wall_clock(), self.service.packages[player.package]
         streamer, member = (
             str(hosted.streamer),
             self.service.site.tokens[player.owner].member if player.owner else "",
--- a/herongap/daemon/errors.py
+++ b/herongap/daemon/errors.py
@@ -6,4 +6,4 @@
 class PeerDisconnectedError(HerongapError):
     """The peer closed the connection or was too slow; no reply can be sent to it."""
 
-    advice = "see the peer and the way there"
+    advice = "check the peer and the network path to it"
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -32,7 +32,7 @@
 class UnsafePermissionsError(HerongapError, OSError):
     """A folder or a key file that other users may read or write."""
 
-    advice = "take read and write from all others: chmod go-rwx"
+    advice = "remove the permissions of all other users: chmod go-rwx"
 
 
 class KeyStore:
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -139,7 +139,7 @@
     assert fleet.segment(manifest, base=manifest.base.replace("/dash/1/", "/dash/2/")).status == 403
     assert fleet.segment(manifest, base=manifest.base[:-3] + "x/").status == 401
     later = lambda: time.time() + 4.5  # noqa: E731  past the expiry and the allowed clock difference
-    fleet.daemon.handler.dash.wall = fleet.streamer_of(manifest).segments.wall = later
+    fleet.daemon.handler.dash.wall_clock = fleet.streamer_of(manifest).segments.wall = later
     assert (
         fleet.segment(manifest).status == 401 and fleet.streamer_of(manifest).segments.refused["expired"] == 1
     )
