--- a/herongap/gossip/gossip.py
+++ b/herongap/gossip/gossip.py
@@ -44,9 +44,7 @@
     confirmations: int = 3  # other suspecting members that shorten a suspicion to the shortest
     max_health: int = 8  # upper limit of the score by which a slow member stretches its own timeouts
     pause_threshold: float = 0.5  # a process that runs later than this after its due time was suspended
-    catch_up_timeout: float = (
-        10.0  # longest wait for an answer after a pause before members are declared gone
-    )
+    catch_up_timeout: float = 10.0  # after a pause, longest wait for a sync before declaring members gone
     sync_interval: float = 10.0  # between two exchanges of the full member table
     detects_pauses: bool = True  # False: plain SWIM, which may declare members gone right after a pause
 
