--- a/herongap/daemon/budgets.py
+++ b/herongap/daemon/budgets.py
@@ -52,9 +52,9 @@
         now = self.clock()
         for name, shares in self.shares.items():
             item = items.get(self.keys[name])
-            bad = shares.error
+            previous_error = shares.error
             shares.observe(now, revision, item.mod_revision if item else 0, item.value if item else None)
-            if shares.error and shares.error != bad:
+            if shares.error and shares.error != previous_error:
                 log.error(
                     "budget document not readable, the budget is not used", budget=name, cause=shares.error
                 )
