--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -15,7 +15,14 @@
 import time
 from pathlib import Path
 
-from herongap.fleet.day import Clients, Day, Machines, Share_, Size, front_ini
+from herongap.fleet.day import (
+    ClientSettings,
+    Day,
+    DaySettings,
+    PackageSettings,
+    StreamerSettings,
+    controller_ini,
+)
 from herongap.host import Host
 from herongap.ini import parse_site
 from herongap.interface import LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
@@ -45,14 +52,14 @@
 
 
 def site(streamers: int):
-    machines = Machines(link=40000.0, rack=400000.0, places=60)
+    machines = StreamerSettings(link=40000.0, rack=400000.0, places=60)
     packages = {
-        "standard": Share_(share=0.7, join_target=1.5, patience=5.0, default=True),
-        "seats": Share_(share=0.3, join_target=0.8, patience=4.0, value=2.0, seats=200),
+        "standard": PackageSettings(share=0.7, join_target=1.5, patience=5.0, default=True),
+        "seats": PackageSettings(share=0.3, join_target=0.8, patience=4.0, value=2.0, seats=200),
     }
-    size = Size(streamers=streamers, controllers=4, racks=max(2, streamers // 8))
-    day = Day(size, Clients(), machines, packages, {})
-    return parse_site(front_ini(day, 0, 1, Path("/tmp")), Path("/tmp/decisions.ini")), size.racks
+    size = DaySettings(streamers=streamers, controllers=4, racks=max(2, streamers // 8))
+    day = Day(size, ClientSettings(), machines, packages, {})
+    return parse_site(controller_ini(day, 0, 1, Path("/tmp")), Path("/tmp/decisions.ini")), size.racks
 
 
 class Cost:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,14 +14,14 @@
 import time
 
 from herongap.fleet.checker import check
-from herongap.fleet.day import Clients, Day, Machines, Share_, Size, Trouble
+from herongap.fleet.day import ClientSettings, Day, DaySettings, PackageSettings, StreamerSettings, Trouble
 from herongap.fleet.figures import Outcome
 from herongap.fleet.model import Model
 
 
 def day(controllers: int, streamers: int, seconds: float) -> Day:
     """A day of that size; 0.75 viewings a second for each ten streamers, of 30 s on the mean."""
-    size = Size(
+    size = DaySettings(
         seconds=seconds,
         rate=max(2.0, 0.075 * streamers),
         controllers=controllers,
@@ -30,16 +30,16 @@
         titles=max(40, 3 * streamers),
         length=30.0,
     )
-    machines = Machines(link=3000.0, rack=20000.0, places=20)
+    machines = StreamerSettings(link=3000.0, rack=20000.0, places=20)
     packages = {
-        "standard": Share_(share=0.65, join_target=1.5, patience=5.0, default=True),
-        "priority": Share_(share=0.35, join_target=0.8, patience=4.0, value=2.0, floor=1, seats=8),
+        "standard": PackageSettings(share=0.65, join_target=1.5, patience=5.0, default=True),
+        "priority": PackageSettings(share=0.35, join_target=0.8, patience=4.0, value=2.0, floor=1, seats=8),
     }
     troubles = {
         "silent": Trouble(kind="silent", at=seconds / 4, lasts=8, part=0.1),
         "deploy": Trouble(kind="deploy", at=seconds / 3, lasts=seconds / 2, part=0.33, size=0.05, extra=3),
     }
-    return Day(size, Clients(), machines, packages, troubles)
+    return Day(size, ClientSettings(), machines, packages, troubles)
 
 
 def one(controllers: int, streamers: int, seconds: float) -> dict:
--- a/benchmarks/troubles.py
+++ b/benchmarks/troubles.py
@@ -27,7 +27,7 @@
     told = report(outcome, breaks)
     return {
         "day": Path(path).stem,
-        "size": f"{day.size.controllers}x{day.size.streamers}",
+        "size": f"{day.settings.controllers}x{day.settings.streamers}",
         "troubles": ", ".join(t.kind for t in day.troubles.values()),
         "viewings": told.viewings,
         "service": round(told.service, 3),
--- a/herongap/cli/experiment.py
+++ b/herongap/cli/experiment.py
@@ -25,7 +25,7 @@
 
 
 def _open(file: Path, store: Path | None):
-    from herongap.fleet.arms import read_experiment
+    from herongap.fleet.experiment import read_experiment
     from herongap.fleet.store import Store
 
     try:
@@ -55,7 +55,7 @@
     What has been run is kept; a run that was killed goes on where it was (`resume` is the same command).
     Exit code 1 if an arm broke a rule.
     """
-    from herongap.fleet import pages
+    from herongap.fleet import html_report
     from herongap.fleet.runner import run as run_all
 
     made, kept = _open(file, store)
@@ -68,10 +68,10 @@
 
     results = run_all(made, kept, workers, progress)
     bounds = _bounds(made.plan, made.arms)
-    rows = pages.table(made, results)
-    click.echo("\n".join(pages.text(rows, bounds)))
+    rows = html_report.table(made, results)
+    click.echo("\n".join(html_report.text(rows, bounds)))
     if folder:
-        click.echo(f"page: {pages.write(folder, made, results, bounds)}")
+        click.echo(f"page: {html_report.write(folder, made, results, bounds)}")
     kept.close()
     sys.exit(1 if any(row.broken for row in rows) else 0)
 
@@ -85,7 +85,7 @@
 @click.argument("folder", type=FOLDER)
 def report(file: Path, store: Path | None, folder: Path) -> None:
     """Write the page of what has been run of FILE so far into FOLDER."""
-    from herongap.fleet import pages
+    from herongap.fleet import html_report
 
     made, kept = _open(file, store)
     results: dict[str, list[dict]] = {arm.name: [] for arm in made.arms}
@@ -97,7 +97,7 @@
             results[name].append(result)
     if len(results[made.arms[0].name]) < 2:
         raise click.ClickException("fewer than two days have been run; see `herongap experiment run`")
-    click.echo(pages.write(folder, made, results, _bounds(made.plan, made.arms)))
+    click.echo(html_report.write(folder, made, results, _bounds(made.plan, made.arms)))
 
 
 @experiment.command()
@@ -106,16 +106,18 @@
 @click.option("--policy", default="herongap", show_default=True)
 def compare(days: tuple[Path, ...], pairs: int, policy: str) -> None:
     """Compare day files, such as two settings of one deployment, seed by seed; the first is the control."""
-    from herongap.fleet import pages
-    from herongap.fleet.arms import PACKAGE, Arm, Experiment, Plan, job
+    from herongap.fleet import html_report
+    from herongap.fleet.experiment import PACKAGE_FOLDER, Arm, Experiment, Plan, run_job
 
-    arms = tuple(Arm(day.name, policy, str(PACKAGE / "rules"), (), str(day.resolve()), 0) for day in days)
+    arms = tuple(
+        Arm(day.name, policy, str(PACKAGE_FOLDER / "rules"), (), str(day.resolve()), 0) for day in days
+    )
     plan = Plan(day=str(days[0]), least=max(2, pairs), most=max(2, pairs))
     try:
-        results = {arm.name: [job(arm, seed) for seed in range(1, plan.most + 1)] for arm in arms}
+        results = {arm.name: [run_job(arm, seed) for seed in range(1, plan.most + 1)] for arm in arms}
     except Faults as fault:
         raise refused(fault) from fault
-    click.echo("\n".join(pages.text(pages.table(Experiment(plan, arms), results), [])))
+    click.echo("\n".join(html_report.text(html_report.table(Experiment(plan, arms), results), [])))
 
 
 @experiment.command()
@@ -135,18 +137,18 @@
     Each seed's day is played several times with other luck for its controllers. What a rehearsal strays by
     beside that (the machine, TCP, what the model leaves out) was measured on five days of the bad day.
     """
-    from herongap.fleet.arms import PACKAGE, Arm
     from herongap.fleet.baselines import POLICIES
-    from herongap.fleet.compare import foreseen
-    from herongap.fleet.runner import plays as play_all
+    from herongap.fleet.compare import prediction_interval
+    from herongap.fleet.experiment import PACKAGE_FOLDER, Arm
+    from herongap.fleet.runner import run_repeatedly
 
     if policy not in POLICIES:
         raise click.UsageError(f"--policy is one of {', '.join(POLICIES)}")
-    arm = Arm(day.name, policy, str(PACKAGE / "rules"), (), str(day.resolve()), 0)
+    arm = Arm(day.name, policy, str(PACKAGE_FOLDER / "rules"), (), str(day.resolve()), 0)
     try:
         for seed in map(int, seeds.split(",")):
-            results = play_all(arm, seed, plays, workers)
-            told = foreseen([r["service"] for r in results], confidence, stray)
+            results = run_repeatedly(arm, seed, plays, workers)
+            told = prediction_interval([r["service"] for r in results], confidence, stray)
             if as_json:
                 click.echo(json.dumps({"seed": seed, "policy": policy, **told._asdict()}))
             else:
--- a/herongap/cli/rehearse.py
+++ b/herongap/cli/rehearse.py
@@ -32,11 +32,11 @@
     """
     from herongap import rehearsal
     from herongap.fleet.baselines import POLICIES
-    from herongap.fleet.checker import judged
+    from herongap.fleet.budget_rules import count_events
+    from herongap.fleet.checker import check_run
     from herongap.fleet.day import read_day
     from herongap.fleet.figures import report
-    from herongap.fleet.seen import Run
-    from herongap.fleet.wholes import tally
+    from herongap.fleet.observations import ObservedRun
 
     if (file is None) == (bench_day is None):
         raise click.UsageError("give FILE or --bench-day")
@@ -50,11 +50,11 @@
     near = Path(tempfile.mkdtemp(prefix="herongap-rehearsal-")) if folder is None else folder
     try:
         outcome = rehearsal.play(day, near, seed, policy)
-        run = Run(outcome)
-        breaks = judged(run)
+        run = ObservedRun(outcome)
+        breaks = check_run(run)
         told = report(outcome, breaks)
         replays = _replays(near, POLICIES[policy])
-        divided = tally(run) if day.wholes else None
+        divided = count_events(run) if day.budgets else None
         if as_json:
             click.echo(json.dumps({
                 "seed": seed, "policy": policy, **told._asdict(),
--- a/herongap/fleet/baselines.py
+++ b/herongap/fleet/baselines.py
@@ -68,15 +68,15 @@
 }
 
 
-def with_parts(base: type, **parts: type) -> type:
+def with_components(base: type, **parts: type) -> type:
     """The deciding class `base` with classes of ours put before its parts of those names."""
     put = {name: type(part.__name__, (part, getattr(base, name)), {}) for name, part in parts.items()}
     return type(base.__name__, (base,), put)
 
 
-def deciding(policy: str, base: type = Controller) -> type:
+def controller_class(policy: str, base: type = Controller) -> type:
     """The deciding class of a policy on a version of the module; "herongap" is the version itself."""
-    return base if policy == "herongap" else with_parts(base, **BASELINES[policy])
+    return base if policy == "herongap" else with_components(base, **BASELINES[policy])
 
 
-POLICIES = {name: deciding(name) for name in ("herongap", *BASELINES)}
+POLICIES = {name: controller_class(name) for name in ("herongap", *BASELINES)}
--- a/herongap/fleet/bound.py
+++ b/herongap/fleet/bound.py
@@ -21,7 +21,7 @@
 from herongap.errors import Unusable
 from herongap.fleet import day as days
 from herongap.fleet.day import Day, Script
-from herongap.fleet.machine import Kind
+from herongap.fleet.machine import MachineProfile
 
 WINDOW = 2.5  # seconds; capacities are those of the best moment within one
 AWAY = 6.0  # seconds, at most, from a viewer's last second of play or its block to its next request
@@ -43,10 +43,10 @@
 
 def bound(day: Day, script: Script) -> Bound:
     """The bound of one day's script; the same day and script that a controller is given."""
-    kind = Kind(**days.farm_kind(day))
+    kind = MachineProfile(**days.machine_profile_values(day))
     if kind.stall * 0.98 <= max(kind.values):
         raise NoBound("stalls cost too little for this bound: overrunning a link could pay")
-    edges = np.arange(0.0, day.size.seconds + 60.0, WINDOW)
+    edges = np.arange(0.0, day.settings.seconds + 60.0, WINDOW)
     wants, totals, offered = _wants(day, script, edges)
     program = _Program(day, kind, list(wants))
     for w, parts in enumerate(_capacities(day, script, kind, edges)):
@@ -69,7 +69,7 @@
         terms = day.packages[a.package]
         key = a.package, tuple(script.titles[a.title]), min(a.top, terms.top)
         totals[key] += a.length
-        offered += a.length * terms.value * day.size.values[a.top]
+        offered += a.length * terms.value * day.settings.values[a.top]
         reach = a.at + a.length + (terms.patience + AWAY) * (day.clients.tries - 1)
         for w in range(int(a.at // WINDOW), min(int(reach // WINDOW), len(edges) - 1) + 1):
             begin, end = max(a.at, edges[w]), min(reach, edges[w] + WINDOW)
@@ -77,26 +77,28 @@
     return wants, totals, offered
 
 
-def _capacities(day: Day, script: Script, kind: Kind, edges: np.ndarray) -> list[dict[str, float]]:
+def _capacities(day: Day, script: Script, kind: MachineProfile, edges: np.ndarray) -> list[dict[str, float]]:
     """The part of its link that each streamer has in each window, at the best moment within it."""
-    state: dict[str, list[tuple[float, float]]] = {f"s{i}": [(0.0, 1.0)] for i in range(day.size.streamers)}
+    state: dict[str, list[tuple[float, float]]] = {
+        f"s{i}": [(0.0, 1.0)] for i in range(day.settings.streamers)
+    }
     sag = dict.fromkeys(state, 1.0)
     quiet: dict[str, set[str]] = {name: set() for name in state}
     down = dict.fromkeys(state, False)
-    for order in script.orders:
-        if order.to != "farm":
+    for order in script.steps:
+        if order.target != "farm":
             continue
-        what = order.what["do"]
-        for name in order.what["on"]:
+        what = order.command["do"]
+        for name in order.command["on"]:
             if what in ("silent", "hang"):
                 quiet[name].add(what)
             elif what == "sound":
-                quiet[name].discard(order.what["fault"])
+                quiet[name].discard(order.command["fault"])
             elif what == "heal":
                 quiet[name].clear()
                 sag[name] = 1.0
             elif what == "sag":
-                sag[name] = order.what["to"]
+                sag[name] = order.command["to"]
             elif what in ("die", "start"):
                 down[name] = what == "die"
             state[name].append((order.at, 0.0 if down[name] or quiet[name] else sag[name]))
@@ -116,10 +118,10 @@
     them.
     """
 
-    def __init__(self, day: Day, kind: Kind, groups: list[tuple]):
+    def __init__(self, day: Day, kind: MachineProfile, groups: list[tuple]):
         self.day, self.kind, self.groups = day, kind, {key: i for i, key in enumerate(groups)}
-        self.names = [f"s{i}" for i in range(day.size.streamers)]
-        self.racks = [days.rack_of(i, day) for i in range(day.size.streamers)]
+        self.names = [f"s{i}" for i in range(day.settings.streamers)]
+        self.racks = [days.rack_of(i, day) for i in range(day.settings.streamers)]
         self.rows: list[int] = []
         self.columns: list[int] = []
         self.data: list[float] = []
--- a/herongap/fleet/wholes.py
+++ b/herongap/fleet/budget_rules.py
@@ -10,32 +10,34 @@
 import msgspec
 
 from herongap.accord.shares import divided
-from herongap.fleet.seen import SLACK, Break, Out, Run
+from herongap.fleet.observations import CLOCK_SLACK_SECONDS, ObservedRun, ObservedTuneIn, Violation
 from herongap.ini.parts import WholeTerms
 
 
-def wholes(run: Run) -> Iterator[Break]:
+def check_budgets(run: ObservedRun) -> Iterator[Violation]:
     """All breaks of the rule on divided wholes."""
-    for name, whole in run.day.wholes.items():
+    for name, whole in run.day.budgets.items():
         counted = [(i, out) for i, outs in run.outs.items() for out in _counted(run, whole, i, outs)]
         yield from (_held if whole.kind == "held" else _begun)(run, name, whole, counted, _bounds(run, name))
         yield from _ended(run, name, counted)
         yield from _parts(run, name)
 
 
-def tally(run: Run) -> dict:
+def count_events(run: ObservedRun) -> dict:
     """What there was to go wrong: what counted, and what was done to the processes and at the store."""
     return {
         "counted": {
             name: sum(len(list(_counted(run, whole, i, outs))) for i, outs in run.outs.items())
-            for name, whole in run.day.wholes.items()
+            for name, whole in run.day.budgets.items()
         },
         "pauses": sum(map(len, run.paused.values())), "kills": len(run.killed), "left": len(run.left),
         "commits": len(run.budgets), "claims": sum(value is not None for *_, value in run.claims),
     }  # fmt: skip
 
 
-def _counted(run: Run, whole: WholeTerms, identity: str, outs: list[Out]) -> Iterator[Out]:
+def _counted(
+    run: ObservedRun, whole: WholeTerms, identity: str, outs: list[ObservedTuneIn]
+) -> Iterator[ObservedTuneIn]:
     if whole.package and run.package.get(identity) != whole.package:
         return
     seen: Counter = Counter()
@@ -46,27 +48,29 @@
             yield out
 
 
-def _bounds(run: Run, name: str) -> list[tuple[float, int]]:
+def _bounds(run: ObservedRun, name: str) -> list[tuple[float, int]]:
     """The whole from each time on, as the store had it."""
     told = [(at, divided(value.encode()).whole) for at, n, value in run.budgets if n == name and value]
     return [told[i] for i in range(len(told)) if i == 0 or told[i][1] != told[i - 1][1]]
 
 
-def _bound(run: Run, whole: WholeTerms, bounds: list[tuple[float, int]], at: float) -> int:
+def _bound(run: ObservedRun, whole: WholeTerms, bounds: list[tuple[float, int]], at: float) -> int:
     # A lowered one binds when the last that had not heard of it has no lease any more.
-    since = at - run.day.size.ttl - whole.window - SLACK
+    since = at - run.day.settings.ttl - whole.window - CLOCK_SLACK_SECONDS
     ends = [*(at for at, _ in bounds[1:]), float("inf")]
-    found = [w for (a, w), end in zip(bounds, ends, strict=False) if a <= at + SLACK and end > since]
+    found = [
+        w for (a, w), end in zip(bounds, ends, strict=False) if a <= at + CLOCK_SLACK_SECONDS and end > since
+    ]
     return max(found, default=whole.whole)
 
 
-def _held(run: Run, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Break]:
+def _held(run: ObservedRun, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Violation]:
     steps = []
     for identity, out in counted:
         held = next((s for s in run.sessions[identity] if s.out is out), None)
         end = min(held.end, held.let_go) if held else out.end
         # What is over and what begins in its place are noted by different processes.
-        steps += [(out.begin, 1, identity), (max(end - SLACK, out.begin + 1e-6), -1, identity)]
+        steps += [(out.begin, 1, identity), (max(end - CLOCK_SLACK_SECONDS, out.begin + 1e-6), -1, identity)]
     now = 0
     for at, change, identity in sorted(steps):
         now += change
@@ -74,18 +78,18 @@
             yield run.broken(7, at, f"{name}: {now} held of {most}", identity)
 
 
-def _begun(run: Run, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Break]:
+def _begun(run: ObservedRun, name: str, whole: WholeTerms, counted, bounds) -> Iterator[Violation]:
     begins = sorted((out.begin, identity) for identity, out in counted)
     first = 0
     for i, (at, identity) in enumerate(begins):
-        while begins[first][0] <= at - whole.window + SLACK:
+        while begins[first][0] <= at - whole.window + CLOCK_SLACK_SECONDS:
             first += 1
         if i - first + 1 > (most := _bound(run, whole, bounds, at)):
             what = f"{name}: {i - first + 1} in {whole.window:g} s, of {most}"
             yield run.broken(7, at, what, identity)
 
 
-def _ended(run: Run, name: str, counted) -> Iterator[Break]:
+def _ended(run: ObservedRun, name: str, counted) -> Iterator[Violation]:
     # A claim's key names the process that made it; it goes with its lease.
     spans: dict[str, list[list[float]]] = defaultdict(list)
     holder: dict[str, str] = {}
@@ -96,12 +100,12 @@
             holder[number] = msgspec.json.decode(value)["name"]
             spans[holder[number]].append([at, float("inf")])
     for identity, out in counted:
-        if not any(since <= out.begin <= until + SLACK for since, until in spans[out.front]):
+        if not any(since <= out.begin <= until + CLOCK_SLACK_SECONDS for since, until in spans[out.front]):
             what = f"{name}: {out.front} sent to {out.streamer} though its claim was over"
             yield run.broken(7, out.begin, what, identity)
 
 
-def _parts(run: Run, name: str) -> Iterator[Break]:
+def _parts(run: ObservedRun, name: str) -> Iterator[Violation]:
     before = 0
     for at, budget, value in run.budgets:
         if budget != name or value is None:
--- a/herongap/fleet/checker.py
+++ b/herongap/fleet/checker.py
@@ -6,34 +6,45 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
-from herongap.fleet.day import LOOK, zone_of
+from herongap.fleet.budget_rules import check_budgets
+from herongap.fleet.day import LIST_POLL_SECONDS, zone_of
 from herongap.fleet.figures import Outcome
-from herongap.fleet.seen import SLACK, Break, Held, Out, Post, Run
-from herongap.fleet.wholes import wholes
+from herongap.fleet.observations import (
+    CLOCK_SLACK_SECONDS,
+    ObservedRequest,
+    ObservedRun,
+    ObservedSession,
+    ObservedTuneIn,
+    Violation,
+)
 
 GRACE = 0.25  # seconds after a drain was told within which work may still arrive
 TWICE = 3.0  # seconds within which a late session must have been torn down
 
 
-def check(outcome: Outcome) -> list[Break]:
+def check(outcome: Outcome) -> list[Violation]:
     """All breaks of a rehearsal, in the order of their rules and times."""
-    return judged(Run(outcome))
+    return check_run(ObservedRun(outcome))
 
 
-def judged(run: Run) -> list[Break]:
+def check_run(run: ObservedRun) -> list[Violation]:
     """The same, of logs that have been put together already."""
-    rules = [answers, set_ups, drains, cold, floors, seats, budget, wholes]
+    rules = [answers, set_ups, drains, cold, floors, seats, budget, check_budgets]
     found = [b for rule in rules for b in rule(run)]
     return sorted(found, key=lambda b: (b.rule, b.at))
 
 
-def answers(run: Run) -> Iterator[Break]:
+def answers(run: ObservedRun) -> Iterator[Violation]:
     """Rule 1: what a running controller took gets exactly one answer, before the viewer gives up."""
-    by_offer: dict[tuple, list[Post]] = defaultdict(list)
+    by_offer: dict[tuple, list[ObservedRequest]] = defaultdict(list)
     for post in run.posts:
         killed = run.killed.get(post.front, float("inf"))
         if post.status == 0:
-            if post.kind == "hung-up" or killed <= post.answered + SLACK or post.answered >= run.stopping:
+            if (
+                post.kind == "hung-up"
+                or killed <= post.answered + CLOCK_SLACK_SECONDS
+                or post.answered >= run.stopping
+            ):
                 continue  # its viewer left, or its controller was killed: it owes no answer
             if run.left.get(post.front, float("inf")) <= post.answered and post.kind.startswith("broken"):
                 continue  # never taken: its controller had closed its door
@@ -61,12 +72,12 @@
                 break
 
 
-def set_ups(run: Run) -> Iterator[Break]:
+def set_ups(run: ObservedRun) -> Iterator[Violation]:
     """Rule 2: never two tune-ins out, nothing set up twice; what may not be repeated is not."""
     for identity, outs in run.outs.items():
         outs = sorted(outs, key=lambda out: out.begin)
         for before, after in zip(outs, outs[1:], strict=False):
-            if after.begin < before.end - SLACK:
+            if after.begin < before.end - CLOCK_SLACK_SECONDS:
                 what = f"two tune-ins out, at {before.streamer} and {after.streamer}"
                 yield run.broken(2, after.begin, what, identity)
         # A session whose answer was lost on its way cannot be known of; whether it may be set up again is for
@@ -83,7 +94,7 @@
             yield from _repeats(run, identity, terms, outs)
 
 
-def _repeats(run: Run, identity: str, terms, outs: list[Out]) -> Iterator[Break]:
+def _repeats(run: ObservedRun, identity: str, terms, outs: list[ObservedTuneIn]) -> Iterator[Violation]:
     # Refused as full or unknown: it provably never ran. Anything else may have.
     ran = [out for out in outs if not (out.how == "refused" and out.status in (404, 422, 503))]
     for earlier in ran:
@@ -98,7 +109,7 @@
             yield run.broken(2, post.answered, f"{post.name}: told to come again though it may run", identity)
 
 
-def _recognised(run: Run, terms, earlier: Out, later: Out) -> bool:
+def _recognised(run: ObservedRun, terms, earlier: ObservedTuneIn, later: ObservedTuneIn) -> bool:
     if terms.repeat == "harmful" or later.begin - earlier.begin > terms.repeat_window:
         return False
     if terms.group == "all":
@@ -108,7 +119,7 @@
     return earlier.streamer == later.streamer
 
 
-def drains(run: Run) -> Iterator[Break]:
+def drains(run: ObservedRun) -> Iterator[Violation]:
     """Rule 3: nothing new to a streamer later than the grace after it was listed as draining or gone."""
     if run.listed_by == "etcd":
         yield from _drains_told(run)
@@ -123,12 +134,12 @@
             since = {name: since.get(name, at) for name in gone}
             at, gone = next(changes)
         told = since.get(out.streamer)
-        if told is not None and out.begin > told + LOOK + GRACE + SLACK:
+        if told is not None and out.begin > told + LIST_POLL_SECONDS + GRACE + CLOCK_SLACK_SECONDS:
             what = f"sent to {out.streamer}, listed as leaving or gone {out.begin - told:.3f} s before"
             yield run.broken(3, out.begin, what, identity)
 
 
-def _drains_told(run: Run) -> Iterator[Break]:
+def _drains_told(run: ObservedRun) -> Iterator[Violation]:
     """Where the list is watched, the grace begins when the bytes that tell a front of it are sent to it."""
     outs = [(o.begin, 1, i, o) for i, outs in run.outs.items() for o in outs]
     words = [(at, 0, "", (None, streamer, gone)) for at, streamer, gone in run.drained]
@@ -148,20 +159,23 @@
                 since = {key: told for key, told in since.items() if key[1] != streamer}
             continue
         told = since.get((it.front, it.streamer))
-        if told is not None and at - run.stopped(_number(it.front), told, at) > told + GRACE + SLACK:
+        if (
+            told is not None
+            and at - run.stopped(_number(it.front), told, at) > told + GRACE + CLOCK_SLACK_SECONDS
+        ):
             what = (
                 f"sent to {it.streamer} {at - told:.3f} s after its front was told that it leaves or is gone"
             )
             yield run.broken(3, at, what, identity)
 
 
-def cold(run: Run) -> Iterator[Break]:
+def cold(run: ObservedRun) -> Iterator[Violation]:
     """Rule 4: no streamer that has just started is pushed over."""
     for at, streamer, d in run.fell:
         yield run.broken(4, at, f"{streamer} fell over at {d['set_ups']} set-ups, {d['most']:.1f} allowed")
 
 
-def floors(run: Run) -> Iterator[Break]:
+def floors(run: ObservedRun) -> Iterator[Violation]:
     """Rule 5, first half: nothing plays under its package's floor."""
     for identity, rungs in run.rungs.items():
         terms = run.day.packages.get(run.package.get(identity, ""))
@@ -170,7 +184,7 @@
                 yield run.broken(5, at, f"rung {rung} at {streamer}, under the floor {terms.floor}", identity)
 
 
-def seats(run: Run) -> Iterator[Break]:
+def seats(run: ObservedRun) -> Iterator[Violation]:
     """Rule 5, second half: no controller holds more viewings of a title and package than its seats.
 
     A seat is taken from the POST at the streamer until that is answered otherwise, hung up on, or its
@@ -189,7 +203,7 @@
                 end = min(held.end, held.let_go)
             steps[out.front, out.title, package] += [
                 (out.begin, 1, identity),
-                (max(end - SLACK, out.begin + 1e-6), -1, identity),
+                (max(end - CLOCK_SLACK_SECONDS, out.begin + 1e-6), -1, identity),
             ]
     for (front, title, package), changes in steps.items():
         most, now = run.day.packages[package].seats, 0
@@ -200,9 +214,9 @@
                 yield run.broken(5, at, what, identity)
 
 
-def budget(run: Run) -> Iterator[Break]:
+def budget(run: ObservedRun) -> Iterator[Violation]:
     """Rule 6: further tune-ins of a controller stay within a few and a share of the viewings that it took."""
-    size = run.day.size
+    size = run.day.settings
     extras: dict[str, list[tuple[float, str]]] = defaultdict(list)
     taken: dict[str, list[float]] = defaultdict(list)
     for identity, outs in run.outs.items():
@@ -218,8 +232,12 @@
         for i, (at, identity) in enumerate(sent):
             # A front sees both a little earlier or later than the sockets' other ends.
             seconds = size.extra_window / run.fast[_number(front)]
-            window = sum(1 for t, _ in sent[: i + 1] if t > at - seconds + SLACK)
-            took = sum(1 for t in asked if at - size.extra_window - SLACK < t <= at + SLACK)
+            window = sum(1 for t, _ in sent[: i + 1] if t > at - seconds + CLOCK_SLACK_SECONDS)
+            took = sum(
+                1
+                for t in asked
+                if at - size.extra_window - CLOCK_SLACK_SECONDS < t <= at + CLOCK_SLACK_SECONDS
+            )
             if window > size.extra_free + size.extra_share * took:
                 what = f"{front}: {window} further tune-ins in {size.extra_window:g} s, having taken {took}"
                 yield run.broken(6, at, what, identity)
@@ -230,5 +248,5 @@
     return int(front.split("-")[1])
 
 
-def _mute(run: Run, held: Held) -> bool:
+def _mute(run: ObservedRun, held: ObservedSession) -> bool:
     return any(at < held.end and at + 30 > held.begin for at in run.muted[held.streamer])
--- a/herongap/fleet/clock.py
+++ b/herongap/fleet/clock.py
@@ -31,7 +31,7 @@
         return ran
 
 
-def stream(seed: int, *name) -> np.random.Generator:
+def random_stream(seed: int, *name) -> np.random.Generator:
     """Chance of its own for each name: one more draw in one place moves nothing elsewhere.
 
     The name's checksum, not its `hash`, which differs from process to process.
--- a/herongap/fleet/compare.py
+++ b/herongap/fleet/compare.py
@@ -26,7 +26,7 @@
         return not self.low <= 0 <= self.high
 
 
-def interval(values: list[float], confidence: float) -> Interval:
+def confidence_interval(values: list[float], confidence: float) -> Interval:
     """Student's t interval of a mean; days are independent, so are the values."""
     mean = float(np.mean(values))
     spread = float(stats.sem(values)) if len(values) > 1 else float("inf")
@@ -36,17 +36,17 @@
     return Interval(mean, mean - reach, mean + reach)
 
 
-def paired(ours: list[float], control: list[float], confidence: float, arms: int) -> Interval:
+def paired_difference(ours: list[float], control: list[float], confidence: float, arms: int) -> Interval:
     """The mean of the differences day by day.
 
     With several arms against one control, each interval is made wider (Bonferroni), so that all hold
     together at the stated confidence.
     """
     alone = 1 - (1 - confidence) / max(1, arms - 1)
-    return interval([a - b for a, b in zip(ours, control, strict=True)], alone)
+    return confidence_interval([a - b for a, b in zip(ours, control, strict=True)], alone)
 
 
-def foreseen(values: list[float], confidence: float, stray: float = 0.0) -> Interval:
+def prediction_interval(values: list[float], confidence: float, stray: float = 0.0) -> Interval:
     """The mean of some plays of one day, with the interval in which one more play is expected.
 
     The prediction interval of a normal sample: wider than the mean's own, for the next play strays too.
@@ -59,7 +59,7 @@
     return Interval(mean, mean - reach, mean + reach)
 
 
-def wanted(results: dict[str, list[float]], plan) -> int:
+def days_needed(results: dict[str, list[float]], plan) -> int:
     """How many days each arm must have before the next look: 0 when there are enough.
 
     Stops when each difference is known to `half_width`, whatever it is: a rule on the width alone does not
@@ -70,7 +70,7 @@
     days = len(control)
     if days < plan.least:
         return plan.least
-    widest = max(paired(other, control, plan.confidence, len(results)).half for other in others)
+    widest = max(paired_difference(other, control, plan.confidence, len(results)).half for other in others)
     if widest <= plan.half_width or days >= plan.most:
         return 0
     return min(plan.most, days + plan.batch)
--- a/herongap/fleet/day.py
+++ b/herongap/fleet/day.py
@@ -23,11 +23,11 @@
 )  # fmt: skip
 
 
-LOOK = 0.05  # seconds between two looks of a controller at its list
-MEMBERS = 3  # of the store
+LIST_POLL_SECONDS = 0.05  # seconds between two looks of a controller at its list
+STORE_MEMBERS = 3  # of the store
 
 
-class Size(Part):
+class DaySettings(Part):
     """The [day] section."""
 
     seconds: Above = 40.0
@@ -54,7 +54,7 @@
     extra_window: Above = 5.0
 
 
-class Clients(Part):
+class ClientSettings(Part):
     """The [clients] section: shares of viewers with a habit, and who comes again."""
 
     repeats: Share = 0.04
@@ -65,7 +65,7 @@
     tries: Whole = 3
 
 
-class Machines(Part):
+class StreamerSettings(Part):
     """The [streamer] section."""
 
     link: Above = 20000.0
@@ -83,7 +83,7 @@
     join_wait: Above = 4.0
 
 
-class Share_(PackageTerms):
+class PackageSettings(PackageTerms):
     """A [package NAME] section: the front's keys, and its share of the viewings."""
 
     share: Share
@@ -106,17 +106,17 @@
 class Day(NamedTuple):
     """One day, checked."""
 
-    size: Size
-    clients: Clients
-    machines: Machines
-    packages: dict[str, Share_]
+    settings: DaySettings
+    clients: ClientSettings
+    streamer_settings: StreamerSettings
+    packages: dict[str, PackageSettings]
     troubles: dict[str, Trouble]
-    wholes: dict[str, WholeTerms] = {}
+    budgets: dict[str, WholeTerms] = {}
 
     @property
-    def latecomers(self) -> set[int]:
+    def late_joiners(self) -> set[int]:
         """The controllers that are not there when the day begins."""
-        named = [t.on or [self.size.controllers - 1] for t in self.troubles.values() if t.kind == "join"]
+        named = [t.on or [self.settings.controllers - 1] for t in self.troubles.values() if t.kind == "join"]
         return {number for numbers in named for number in numbers}
 
 
@@ -133,49 +133,49 @@
     habit: str
 
 
-class Order(NamedTuple):
+class TroubleStep(NamedTuple):
     """One step of a trouble. `to` is "farm", "list", "list_late", "etcd", "controllers", "relays" or
     "members".
     """
 
     at: float
-    to: str
-    what: dict
+    target: str
+    command: dict
 
 
 class Listing:
     """The list of streamers as a day's orders change it: a standing and a start for each name."""
 
     def __init__(self, names: list[str]):
-        self.standing: dict[str, str] = dict.fromkeys(names, "active")
+        self.statuses: dict[str, str] = dict.fromkeys(names, "active")
         self.started: dict[str, float | None] = dict.fromkeys(names)
         self.hidden: set[str] = set()
 
-    def change(self, order: dict, at: float) -> None:
+    def apply(self, order: dict, at: float) -> None:
         """Carry out an order of a day; `at` is when what it tells of happened, by the caller's clock."""
         for name in order["on"]:
             match order["standing"]:
                 case "started":
-                    self.standing[name], self.started[name] = "active", at
+                    self.statuses[name], self.started[name] = "active", at
                 case "none":
                     self.hidden.add(name)
                 case "back":
                     self.hidden.discard(name)
                 case standing:
-                    self.standing[name] = standing
+                    self.statuses[name] = standing
 
-    def shown(self) -> list[tuple[str, str, float | None]]:
+    def visible(self) -> list[tuple[str, str, float | None]]:
         """What a reader of the list sees: name, standing, start."""
-        return [(n, s, self.started[n]) for n, s in self.standing.items() if n not in self.hidden]
+        return [(n, s, self.started[n]) for n, s in self.statuses.items() if n not in self.hidden]
 
-    def gone(self) -> list[str]:
+    def unavailable(self) -> list[str]:
         """Those to whom no new work may go."""
-        return [n for n, s in self.standing.items() if n in self.hidden or s != "active"]
+        return [n for n, s in self.statuses.items() if n in self.hidden or s != "active"]
 
 
 class Script(NamedTuple):
     arrivals: list[Arrival]
-    orders: list[Order]
+    steps: list[TroubleStep]
     titles: dict[str, list[str]]
 
 
@@ -189,10 +189,10 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as fault:
         raise Faults(f"{path}: {fault}") from fault
     faults: list[str] = []
-    once = {"day": Size, "clients": Clients, "streamer": Machines}
+    once = {"day": DaySettings, "clients": ClientSettings, "streamer": StreamerSettings}
     found: dict = {}
     named: dict = {"package": {}, "trouble": {}, "budget": {}}
-    models = {"package": Share_, "trouble": Trouble, "budget": WholeTerms}
+    models = {"package": PackageSettings, "trouble": Trouble, "budget": WholeTerms}
     for section in parser.sections():
         kind, _, name = section.partition(" ")
         model = once.get(section) or models.get(kind if name else "")
@@ -219,14 +219,14 @@
     for name, whole in named["budget"].items():
         if whole.member:
             faults.append(f"{path}: [budget {name}] member = {whole.member}: viewers of a day have none")
-        if found.get("day", Size()).list_by != "etcd":
+        if found.get("day", DaySettings()).list_by != "etcd":
             faults.append(f"{path}: [budget {name}]: needs [day] list_by = etcd")
     if faults:
         raise Faults("\n".join(faults))
     return Day(
-        found.get("day", Size()),
-        found.get("clients", Clients()),
-        found.get("streamer", Machines()),
+        found.get("day", DaySettings()),
+        found.get("clients", ClientSettings()),
+        found.get("streamer", StreamerSettings()),
         named["package"],
         named["trouble"],
         named["budget"],
@@ -234,24 +234,24 @@
 
 
 def zone_of(streamer: int, day: Day) -> str:
-    return f"z{streamer % day.size.zones}"
+    return f"z{streamer % day.settings.zones}"
 
 
 def rack_of(streamer: int, day: Day) -> str:
     # A rack stands in one zone.
-    zones = day.size.zones
-    return f"rack{streamer % zones}-{streamer // zones % max(1, day.size.racks // zones)}"
+    zones = day.settings.zones
+    return f"rack{streamer % zones}-{streamer // zones % max(1, day.settings.racks // zones)}"
 
 
 def script(day: Day, seed: int) -> Script:
     """The viewers and the troubles of a day; the same for the same seed. Each has draws of its own."""
-    streamers = [f"s{i}" for i in range(day.size.streamers)]
+    streamers = [f"s{i}" for i in range(day.settings.streamers)]
     draw = random.Random(f"titles {seed}")
     titles = {
-        str(n): sorted(draw.sample(streamers, min(len(streamers), max(3, day.size.holders))))
-        for n in range(1, day.size.titles + 1)
+        str(n): sorted(draw.sample(streamers, min(len(streamers), max(3, day.settings.holders))))
+        for n in range(1, day.settings.titles + 1)
     }
-    orders: list[Order] = []
+    orders: list[TroubleStep] = []
     for name, trouble in day.troubles.items():
         orders += _orders(day, trouble, streamers, random.Random(f"trouble {name} {seed}"))
     return Script(_arrivals(day, seed), sorted(orders, key=lambda o: o.at), titles)
@@ -261,63 +261,63 @@
     draw = random.Random(f"viewers {seed}")
     names = list(day.packages)
     shares = [day.packages[n].share for n in names]
-    weights = [1 / n**day.size.popularity for n in range(1, day.size.titles + 1)]
+    weights = [1 / n**day.settings.popularity for n in range(1, day.settings.titles + 1)]
     habits = ("repeats", "doubles", "leaves", "trickles")
     odds = [getattr(day.clients, habit) for habit in habits]
-    peak = day.size.rate * max(
+    peak = day.settings.rate * max(
         [1.0, *(1 + t.size for t in day.troubles.values() if t.kind in ("crowd", "burst"))]
     )
     arrivals, at = [], 0.0
     for number in itertools.count():
         # Thinning: draws at the highest rate, of which each moment keeps its part.
         at += draw.expovariate(peak)
-        if at >= day.size.seconds:
+        if at >= day.settings.seconds:
             return arrivals
         crowds = [
             t for t in day.troubles.values() if t.kind in ("crowd", "burst") and t.at <= at < t.at + t.lasts
         ]
-        rate = day.size.rate * (1 + sum(t.size - 1 if t.kind == "burst" else t.size for t in crowds))
+        rate = day.settings.rate * (1 + sum(t.size - 1 if t.kind == "burst" else t.size for t in crowds))
         keep, pick, habit = draw.random() * peak < rate, draw.random(), draw.random()
-        title = str(draw.choices(range(1, day.size.titles + 1), weights)[0])
+        title = str(draw.choices(range(1, day.settings.titles + 1), weights)[0])
         package = draw.choices(names, shares)[0]
-        small = draw.random() < day.size.small_screens
-        length, zone = draw.expovariate(1 / day.size.length), draw.randrange(day.size.zones)
+        small = draw.random() < day.settings.small_screens
+        length, zone = draw.expovariate(1 / day.settings.length), draw.randrange(day.settings.zones)
         if not keep:
             continue
         for crowd in crowds:
             # The crowd's own viewers want one of its few titles.
-            if crowd.kind == "crowd" and pick * rate / day.size.rate < crowd.size:
+            if crowd.kind == "crowd" and pick * rate / day.settings.rate < crowd.size:
                 title = str(1 + int(crowd.at * 7 + pick * 1000) % max(1, int(crowd.extra)))
         habit = next(
             (h for h, edge in zip(habits, itertools.accumulate(odds), strict=True) if habit < edge), "plain"
         )
-        top = len(day.size.rates) - 1
-        length = min(0.5 + length, day.size.longest)
+        top = len(day.settings.rates) - 1
+        length = min(0.5 + length, day.settings.longest)
         arrivals.append(
             Arrival(at, f"w{number}", zone, title, package, length, max(1, top - 2) if small else top, habit)
         )
 
 
-def _orders(day: Day, t: Trouble, streamers: list[str], draw: random.Random) -> list[Order]:
+def _orders(day: Day, t: Trouble, streamers: list[str], draw: random.Random) -> list[TroubleStep]:
     count = max(1, round(t.part * len(streamers)))
     on = [streamers[i % len(streamers)] for i in t.on] if t.on else sorted(draw.sample(streamers, count))
     end = t.at + t.lasts
 
-    def farm(at: float, do: str, names=on, **more) -> Order:
-        return Order(at, "farm", {"do": do, "on": list(names), **more})
+    def farm(at: float, do: str, names=on, **more) -> TroubleStep:
+        return TroubleStep(at, "farm", {"do": do, "on": list(names), **more})
 
-    def told(at: float, standing: str, names=on) -> Order:
-        return Order(at, "list", {"standing": standing, "on": list(names)})
+    def told(at: float, standing: str, names=on) -> TroubleStep:
+        return TroubleStep(at, "list", {"standing": standing, "on": list(names)})
 
     def some() -> list[int]:
         """The numbers of the controllers, or of the store's members."""
-        crowd = range(MEMBERS if t.kind in ("member_down", "minority") else day.size.controllers)
+        crowd = range(STORE_MEMBERS if t.kind in ("member_down", "minority") else day.settings.controllers)
         return [n % len(crowd) for n in t.on or draw.sample(crowd, max(1, round(t.part * len(crowd))))]
 
-    def fronts(first: dict, last: dict | None) -> list[Order]:
+    def fronts(first: dict, last: dict | None) -> list[TroubleStep]:
         there = some()
         steps = [(t.at, first), *([(end, last)] if last else [])]
-        return [Order(at, "controllers", {"on": there, **what}) for at, what in steps]
+        return [TroubleStep(at, "controllers", {"on": there, **what}) for at, what in steps]
 
     match t.kind:
         case "pause":
@@ -325,8 +325,8 @@
         case "kill" | "leave":
             return fronts({"do": t.kind}, {"do": "start"} if t.lasts else None)
         case "join":
-            on = t.on or [day.size.controllers - 1]
-            return [Order(t.at, "controllers", {"do": "start", "on": on})]
+            on = t.on or [day.settings.controllers - 1]
+            return [TroubleStep(t.at, "controllers", {"do": "start", "on": on})]
         case "clock_step":
             return fronts({"do": "clock", "step": t.extra}, {"do": "clock", "step": -t.extra})
         case "clock_fast":
@@ -334,24 +334,24 @@
         case "store_cut" | "store_oneway" | "store_slow" | "store_reset":
             what = {"trouble": t.kind.removeprefix("store_"), "on": some()}
             return [
-                Order(t.at, "relays", {"do": "begin", "by": t.extra, **what}),
-                Order(end, "relays", {"do": "end", **what}),
+                TroubleStep(t.at, "relays", {"do": "begin", "by": t.extra, **what}),
+                TroubleStep(end, "relays", {"do": "end", **what}),
             ]
         case "member_down" | "minority":
             what = {"trouble": t.kind, "on": some()}
             return [
-                Order(t.at, "members", {"do": "begin", **what}),
-                Order(end, "members", {"do": "end", **what}),
+                TroubleStep(t.at, "members", {"do": "begin", **what}),
+                TroubleStep(end, "members", {"do": "end", **what}),
             ]
         case "whole" | "forgotten":
             # An operator sets each whole to `size` times what it was, and back; or deletes the documents.
-            names = list(day.wholes)
+            names = list(day.budgets)
             named = [names[i % len(names)] for i in t.on or range(len(names))]
             do = {"do": t.kind, "names": named}
-            back = [Order(end, "etcd", do | {"times": 1.0})] if t.kind == "whole" else []
-            return [Order(t.at, "etcd", do | {"times": t.size}), *back]
+            back = [TroubleStep(end, "etcd", do | {"times": 1.0})] if t.kind == "whole" else []
+            return [TroubleStep(t.at, "etcd", do | {"times": t.size}), *back]
         case "leader_change":
-            return [Order(t.at, "members", {"do": "elect", "by": t.lasts})]
+            return [TroubleStep(t.at, "members", {"do": "elect", "by": t.lasts})]
         case "die":
             # The list tells of what runs: late that it is gone, late that it is back, cold.
             return [farm(t.at, "die"), told(t.at, "left"), farm(end, "start"), told(end, "started")]
@@ -382,11 +382,11 @@
                 told(back, "started"),
             ]  # fmt: skip
         case "cut":
-            zone = f"z{draw.randrange(day.size.zones)}"
+            zone = f"z{draw.randrange(day.settings.zones)}"
             inside = [s for i, s in enumerate(streamers) if zone_of(i, day) == zone]
             outside = [s for s in streamers if s not in inside]
-            fronts = [f"herongap-{c}-" for c in range(day.size.controllers)]
-            near = [f for c, f in enumerate(fronts) if f"z{c % day.size.zones}" == zone]
+            fronts = [f"herongap-{c}-" for c in range(day.settings.controllers)]
+            near = [f for c, f in enumerate(fronts) if f"z{c % day.settings.zones}" == zone]
             far = [f for f in fronts if f not in near]
             return [
                 farm(t.at, "cut", inside, fronts=far), farm(t.at, "cut", outside, fronts=near),
@@ -398,27 +398,29 @@
             return _deploy(t, streamers, draw, farm, told)
         case "list_late":
             return [
-                Order(t.at, "list_late", {"by": t.extra}),
-                Order(end, "list_late", {"by": day.size.list_late}),
+                TroubleStep(t.at, "list_late", {"by": t.extra}),
+                TroubleStep(end, "list_late", {"by": day.settings.list_late}),
             ]
         case "empty_list":
             return [told(t.at, "none", streamers), told(end, "back", streamers)]
         case "watch_cut":
             # Every `extra` seconds all watches break; `size` above 1: what they missed is compacted away too.
             cuts = [t.at + i * max(0.05, t.extra) for i in range(int(t.lasts / max(0.05, t.extra)))]
-            return [Order(at, "etcd", {"do": "cut", "compact": t.size > 1}) for at in cuts]
+            return [TroubleStep(at, "etcd", {"do": "cut", "compact": t.size > 1}) for at in cuts]
         case "etcd_down":
-            return [Order(t.at, "etcd", {"do": "stop"}), Order(end, "etcd", {"do": "start"})]
+            return [TroubleStep(t.at, "etcd", {"do": "stop"}), TroubleStep(end, "etcd", {"do": "start"})]
         case "controllers":
-            lost = draw.sample(range(day.size.controllers), max(1, round(t.part * day.size.controllers)))
+            lost = draw.sample(
+                range(day.settings.controllers), max(1, round(t.part * day.settings.controllers))
+            )
             return [
-                Order(t.at, "controllers", {"do": "kill", "on": lost}),
-                Order(end, "controllers", {"do": "start", "on": lost}),
+                TroubleStep(t.at, "controllers", {"do": "kill", "on": lost}),
+                TroubleStep(end, "controllers", {"do": "start", "on": lost}),
             ]
     return []  # crowds and bursts are in the arrivals
 
 
-def _deploy(t: Trouble, streamers: list[str], draw: random.Random, farm, told) -> list[Order]:
+def _deploy(t: Trouble, streamers: list[str], draw: random.Random, farm, told) -> list[TroubleStep]:
     """Batches drain for `extra` seconds, stop, and come back cold; `size` is the share of the fleet in a
     batch.
     """
@@ -434,11 +436,11 @@
     return out
 
 
-def farm_kind(day: Day) -> dict:
-    m = day.machines
+def machine_profile_values(day: Day) -> dict:
+    m = day.streamer_settings
     return {
-        "ladder": day.size.rates,
-        "values": day.size.values,
+        "ladder": day.settings.rates,
+        "values": day.settings.values,
         "link": m.link,
         "rack": m.rack,
         "places": m.places,
@@ -455,10 +457,10 @@
     }
 
 
-def front_ini(day: Day, number: int, seed: int, folder: Path, members: list[str] | None = None) -> str:
+def controller_ini(day: Day, number: int, seed: int, folder: Path, members: list[str] | None = None) -> str:
     """The INI file of one controller of a day; `members` are those of an etcd that has the list."""
-    s, m = day.size, day.machines
-    listed = f"[streamers]\nlist = streamers.json\nlook = {LOOK}"
+    s, m = day.settings, day.streamer_settings
+    listed = f"[streamers]\nlist = streamers.json\nlook = {LIST_POLL_SECONDS}"
     if members:
         listed = f"[etcd]\nendpoints = {', '.join(members)}\nttl = {s.ttl}\nremembered = list-{number}"
         listed += f"\ntime_out = {s.time_out}"
@@ -483,6 +485,6 @@
         lines.append(f"[package {name}]")
         told = package.model_dump() | {"protocol": ", ".join(package.protocol)}
         lines += [f"{key} = {value}" for key, value in told.items() if key != "share"]
-    for name, whole in day.wholes.items():
+    for name, whole in day.budgets.items():
         lines += [f"[budget {name}]", *(f"{key} = {value}" for key, value in whole.model_dump().items())]
     return "\n".join(lines) + "\n"
--- a/herongap/fleet/errors.py
+++ b/herongap/fleet/errors.py
@@ -3,7 +3,7 @@
 from herongap.errors import Unusable
 
 
-class NotModelled(Unusable):
+class UnsupportedTroubleError(Unusable):
     """Something of a day that the model does not know."""
 
     advice = "play the day with `herongap rehearse`"
--- a/herongap/fleet/arms.py
+++ b/herongap/fleet/experiment.py
@@ -22,7 +22,7 @@
 from herongap.ini import Faults
 from herongap.ini.parts import Part
 
-PACKAGE = Path(__file__).resolve().parent.parent
+PACKAGE_FOLDER = Path(__file__).resolve().parent.parent
 
 
 class BadArm(Unusable):
@@ -87,7 +87,10 @@
 
 def _sources() -> list[Path]:
     folders = ("fleet", "host", "ini")
-    return [PACKAGE / "interface.py", *(p for f in folders for p in sorted((PACKAGE / f).glob("*.py")))]
+    return [
+        PACKAGE_FOLDER / "interface.py",
+        *(p for f in folders for p in sorted((PACKAGE_FOLDER / f).glob("*.py"))),
+    ]
 
 
 def read_experiment(path: Path) -> Experiment:
@@ -133,7 +136,7 @@
 def _arm(name: str, part: ArmPart, plan: Plan, near: Path) -> Arm:
     if part.policy not in baselines.POLICIES:
         raise BadArm(f"policy = {part.policy}: allowed are {', '.join(baselines.POLICIES)}")
-    module = near / part.module if part.module else PACKAGE / "rules"
+    module = near / part.module if part.module else PACKAGE_FOLDER / "rules"
     if (module / "herongap").is_dir():
         # An installed or unpacked version of the package.
         module = module / "herongap" / "rules"
@@ -169,7 +172,7 @@
             raise BadArm(f"set {key}: the module has no such value")
         for part in having:
             setattr(part, key, type(getattr(part, key))(value))
-    return baselines.deciding(arm.policy, module.Controller)
+    return baselines.controller_class(arm.policy, module.Controller)
 
 
 def play(arm: Arm, seed: int) -> tuple[Day, Outcome, Model]:
@@ -180,7 +183,7 @@
     return day, Outcome(day, model.script, 0.0, lines), model
 
 
-def job(arm: Arm, seed: int) -> dict:
+def run_job(arm: Arm, seed: int) -> dict:
     """One day under one arm, as what is kept of it: the report, JSON's own types alone."""
     _, outcome, model = play(arm, seed)
     told = report(outcome, check(outcome))._asdict()
--- a/herongap/fleet/figures.py
+++ b/herongap/fleet/figures.py
@@ -58,13 +58,15 @@
     wants = {who: d for _, who, what, d in lines if what == "wants"}
     offered, earned = defaultdict(float), defaultdict(float)
     for d in wants.values():
-        offered[d["package"]] += d["seconds"] * day.packages[d["package"]].value * day.size.values[d["top"]]
+        offered[d["package"]] += (
+            d["seconds"] * day.packages[d["package"]].value * day.settings.values[d["top"]]
+        )
     asked = {d["identity"]: who for _, who, what, d in lines if what == "asked"}
     answered = [d for _, _, what, d in lines if what == "answered"]
     joins = sorted(d["taken"] for d in answered if d["status"] == 201)
     total = max(1e-9, sum(offered.values()))
     lost = dict.fromkeys(("late", "low rung", "stalls"), 0.0)
-    seconds = [0.0] * (int(day.size.seconds) + 1)
+    seconds = [0.0] * (int(day.settings.seconds) + 1)
     for p in _played(outcome, wants, asked, answered):
         lost["low rung"] += p.top - p.rungs
         lost["stalls"] += p.rungs - p.earned
@@ -107,15 +109,15 @@
             running[key] = [at, at, d["rung"], 0.0]
         elif what == "rung" and key in running:
             run = running[key]
-            run[3] += day.size.values[run[2]] * (at - run[1])
+            run[3] += day.settings.values[run[2]] * (at - run[1])
             run[1], run[2] = at, d["rung"]
         elif what == "ended":
             begin, since, rung, value = running.pop(key)
             if d["joined"] and d["identity"] in asked:
                 want = wants[asked[d["identity"]]]
                 worth = day.packages[want["package"]].value
-                value += day.size.values[rung] * (at - since)
-                top = day.size.values[want["top"]] * (at - begin)
+                value += day.settings.values[rung] * (at - since)
+                top = day.settings.values[want["top"]] * (at - begin)
                 begin, end = begin - outcome.began, at - outcome.began
                 had = worth * max(top, value), worth * value, worth * min(d["earned"], value)
                 yield Played(want["package"], begin, end, *had, d["identity"] in in_time)
--- a/herongap/fleet/fit.py
+++ b/herongap/fleet/fit.py
@@ -85,7 +85,7 @@
     times = sorted(at for at, _ in asked.values())
     gaps = [b - a for a, b in zip(times, times[1:], strict=False) if b > a]
     titles = Counter(str(ask.title) for _, ask in asked.values())
-    exponent, error = zipf(sorted(titles.values(), reverse=True))
+    exponent, error = fit_zipf(sorted(titles.values(), reverse=True))
     packages = Counter(ask.package for _, ask in asked.values())
     samples = {"gap": gaps, "length": lengths, "set-up": set_ups}
     return Fit(
@@ -97,12 +97,14 @@
         popularity_error=error,
         titles=len(titles),
         packages={name: n / len(asked) for name, n in sorted(packages.items())},
-        quantities=[best(name, values) for name, values in samples.items() if len(values) >= LEAST],
+        quantities=[
+            best_distribution(name, values) for name, values in samples.items() if len(values) >= LEAST
+        ],
         samples=samples,
     )
 
 
-def best(name: str, values: list[float]) -> Fitted:
+def best_distribution(name: str, values: list[float]) -> Fitted:
     """The family with the least Akaike criterion for positive values, fitted by maximum likelihood."""
     sample = np.array([max(v, 1e-6) for v in values])
     found = []
@@ -118,7 +120,7 @@
     return Fitted(name, len(values), float(sample.mean()), family, numbers, distance, p)
 
 
-def zipf(counts: list[int]) -> tuple[float, float]:
+def fit_zipf(counts: list[int]) -> tuple[float, float]:
     """The exponent s of p(rank) ~ rank^-s for counts by falling rank, by maximum likelihood, and its
     standard error.
 
--- a/herongap/fleet/pages.py
+++ b/herongap/fleet/html_report.py
@@ -12,9 +12,9 @@
 import matplotlib.pyplot as plt  # noqa: E402
 import numpy as np  # noqa: E402
 
-from herongap.fleet.arms import Experiment  # noqa: E402
 from herongap.fleet.bound import Bound  # noqa: E402
-from herongap.fleet.compare import Interval, interval, paired  # noqa: E402
+from herongap.fleet.compare import Interval, confidence_interval, paired_difference  # noqa: E402
+from herongap.fleet.experiment import Experiment  # noqa: E402
 
 STYLE = (
     "body{font:15px sans-serif;max-width:64em;margin:2em auto;color:#222}"
@@ -42,7 +42,9 @@
     plan, rows, control = experiment.plan, [], None
     for name, days in results.items():
         service = [day["service"] for day in days]
-        against = None if control is None else paired(service, control, plan.confidence, len(results))
+        against = (
+            None if control is None else paired_difference(service, control, plan.confidence, len(results))
+        )
         control = control or service
         broken: dict[str, int] = {}
         for day in days:
@@ -56,7 +58,7 @@
             Row(
                 name,
                 len(days),
-                interval(service, plan.confidence),
+                confidence_interval(service, plan.confidence),
                 against,
                 mean("by_package"),
                 mean("lost"),
@@ -111,7 +113,7 @@
     figure, axes = plt.subplots(figsize=(9, 4))
     for name, days in results.items():
         series = np.array([day["series"] for day in days])
-        bands = [interval(list(column), confidence) for column in series.T]
+        bands = [confidence_interval(list(column), confidence) for column in series.T]
         middle = [band.mean for band in bands]
         axes.plot(middle, label=name, linewidth=1.4)
         axes.fill_between(range(len(bands)), [b.low for b in bands], [b.high for b in bands], alpha=0.18)
--- a/herongap/fleet/links.py
+++ b/herongap/fleet/links.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 
-def equal(asked: float, size: float) -> float:
+def proportional_share(asked: float, size: float) -> float:
     """The share of its rate that everybody gets where `asked` is asked of `size`: min(1, size / asked).
 
     Each gives up in proportion, as where senders at fixed rates overrun one queue that drops at random.
@@ -14,7 +14,7 @@
     return 1.0 if asked <= size else size / asked
 
 
-def max_min(asked: Sequence[float], size: float) -> list[float]:
+def max_min_rates(asked: Sequence[float], size: float) -> list[float]:
     """What each gets under max-min fairness, by progressive filling (Bertsekas and Gallager, Data Networks,
     6.5.2).
 
--- a/herongap/fleet/machine.py
+++ b/herongap/fleet/machine.py
@@ -7,11 +7,11 @@
 from collections import deque
 from typing import NamedTuple
 
-from herongap.fleet.links import equal, max_min
+from herongap.fleet.links import max_min_rates, proportional_share
 from herongap.interface import LoadReport
 
 
-class Kind(NamedTuple):
+class MachineProfile(NamedTuple):
     """What all streamers of a farm have in common.
 
     `link` is a streamer's, `rack` a rack's uplink; it falls over where in `tip_after` seconds more set-ups
@@ -68,10 +68,12 @@
 class Machine:
     """One streamer."""
 
-    def __init__(self, kind: Kind, name: str, zone: str, rack: "Rack", started: float | None = None):
+    def __init__(
+        self, kind: MachineProfile, name: str, zone: str, rack: "Rack", started: float | None = None
+    ):
         self.kind, self.name, self.zone, self.rack, self.started = kind, name, zone, rack, started
         self.sessions: dict[str, Session] = {}
-        self.asked, self.sag, self.mute, self.fallen = 0.0, 1.0, False, False
+        self.demand, self.sag, self.mute, self.overloaded = 0.0, 1.0, False, False
         self.faults: dict[str, dict] = {}
         self.share, self.ratio, self.at = 1.0, 0.0, 0.0
         # For each rung, what a viewer there has earned since the start: sessions keep only where they came
@@ -97,44 +99,44 @@
         over = self.kind.full_from and self.ratio >= self.kind.full_from
         return bool(over) or len(self.sessions) >= self.kind.places
 
-    def knock(self, now: float) -> float | None:
+    def register_set_up(self, now: float) -> float | None:
         """A set-up arrives; if that pushes it over, how many would have been borne."""
         k = self.kind
         while self.set_ups and self.set_ups[0] <= now - k.tip_after:
             self.set_ups.popleft()
         self.set_ups.append(now)
-        if self.fallen or self.started is None or now - self.started >= k.warm_up:
+        if self.overloaded or self.started is None or now - self.started >= k.warm_up:
             return None
         most = max(1.0, k.fall_multiple * k.tip_after * k.places / k.warm_up * self.warmth(now))
-        self.fallen = len(self.set_ups) > most + k.slack
-        return most if self.fallen else None
+        self.overloaded = len(self.set_ups) > most + k.slack
+        return most if self.overloaded else None
 
-    def begin(self, now: float, session: Session) -> None:
+    def start_session(self, now: float, session: Session) -> None:
         self.advance(now)
         self.sessions[session.name] = session
         session.since = self.gains[session.rung]
-        self.asked += self.kind.ladder[session.rung]
-        self.rack.share_out(now)
+        self.demand += self.kind.ladder[session.rung]
+        self.rack.allocate(now)
 
-    def step(self, now: float, session: Session, rung: int) -> None:
+    def change_rung(self, now: float, session: Session, rung: int) -> None:
         """A session goes to another rung."""
         self.advance(now)
         session.earned += self.gains[session.rung] - session.since
-        self.asked += self.kind.ladder[rung] - self.kind.ladder[session.rung]
+        self.demand += self.kind.ladder[rung] - self.kind.ladder[session.rung]
         session.rung, session.since = rung, self.gains[rung]
-        self.rack.share_out(now)
+        self.rack.allocate(now)
 
-    def finish(self, now: float, session: Session) -> tuple[float, float] | None:
+    def end_session(self, now: float, session: Session) -> tuple[float, float] | None:
         """A session ends: its seconds, and the value it earned; None if it had ended already."""
         if session.name not in self.sessions:
             return None
         self.advance(now)
         del self.sessions[session.name]
         session.earned += self.gains[session.rung] - session.since
-        self.asked -= self.kind.ladder[session.rung]
+        self.demand -= self.kind.ladder[session.rung]
         if not self.sessions:
-            self.asked = 0.0  # sums of floats leave crumbs
-        self.rack.share_out(now)
+            self.demand = 0.0  # sums of floats leave crumbs
+        self.rack.allocate(now)
         return now - session.began, session.earned
 
     def advance(self, now: float) -> None:
@@ -153,11 +155,11 @@
         cut = self.faults.get("cut")
         return bool(cut and front and any(front.startswith(name) for name in cut["fronts"]))
 
-    def order(self, now: float, order: dict) -> None:
+    def apply_command(self, now: float, order: dict) -> None:
         """A fault begins or ends, or its process starts anew, cold; what else that means is the caller's."""
         match order["do"]:
             case "start":
-                self.started, self.fallen = now, False
+                self.started, self.overloaded = now, False
                 self.set_ups.clear()
             case "sag":
                 self.sag = order["to"]
@@ -172,9 +174,9 @@
                 self.faults[fault] = order
         self.advance(now)
         self.mute = self.muted()
-        self.rack.share_out(now)
+        self.rack.allocate(now)
 
-    def load(self, at: float | None = None) -> LoadReport:
+    def load_report(self, at: float | None = None) -> LoadReport:
         """Asked over given of link and uplink, now or as it was at a time before."""
         if at is not None:
             for then, ratio, rack, _ in reversed(self.past):
@@ -194,25 +196,27 @@
         self.size, self.sharing, self.ratio = size, sharing, 0.0
         self.machines: list[Machine] = []
 
-    def share_out(self, now: float) -> None:
+    def allocate(self, now: float) -> None:
         """Give every machine its share; those of all change where one asks for more or less.
 
         The smaller of two shares holds: that of the machine's own link, and that of the uplink, either equal
         for all that is asked of it or what max-min fairness leaves of what passes the links.
         """
-        asked = sum(m.asked for m in self.machines)
+        asked = sum(m.demand for m in self.machines)
         self.ratio = asked / self.size
         passed = None
         if self.sharing == "max_min" and asked > self.size:
-            passed = max_min([min(m.asked, m.link(now)) for m in self.machines], self.size)
+            passed = max_min_rates([min(m.demand, m.link(now)) for m in self.machines], self.size)
         for i, m in enumerate(self.machines):
             m.advance(now)
             link = m.link(now)
-            m.ratio = m.asked / link
-            through = equal(asked, self.size) if passed is None else passed[i] / max(m.asked, 1e-9)
-            m.share = min(equal(m.asked, link), through, 1.0)
+            m.ratio = m.demand / link
+            through = (
+                proportional_share(asked, self.size) if passed is None else passed[i] / max(m.demand, 1e-9)
+            )
+            m.share = min(proportional_share(m.demand, link), through, 1.0)
 
-    def note(self, now: float) -> None:
+    def record_history(self, now: float) -> None:
         """Keep what holds now for the notes that will tell it later."""
         for m in self.machines:
             m.past.append((now, m.ratio, self.ratio, m.share))
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -11,10 +11,10 @@
 
 from herongap.etcd.membership import SETTLE_SECONDS
 from herongap.fleet import day as days
-from herongap.fleet.clock import Clock, stream
-from herongap.fleet.day import LOOK, Arrival, Day, Listing, Order, Script
-from herongap.fleet.errors import NotModelled
-from herongap.fleet.machine import Kind, Machine, Rack, Session
+from herongap.fleet.clock import Clock, random_stream
+from herongap.fleet.day import LIST_POLL_SECONDS, Arrival, Day, Listing, Script, TroubleStep
+from herongap.fleet.errors import UnsupportedTroubleError
+from herongap.fleet.machine import Machine, MachineProfile, Rack, Session
 from herongap.host import Answer, Host
 from herongap.host.liveness import LOST_AFTER_SECONDS, SILENT_AFTER_SECONDS, STREAM_GONE_AFTER_SECONDS
 from herongap.ini import Site, parse_site
@@ -154,7 +154,9 @@
             how = (
                 EndReason.PLAYED if fine else EndReason.TIMED_OUT if machine.running else EndReason.UNREACHED
             )
-            self.host.probed(self.clock.now, streamer, how, 2 * WAY, machine.machine.load() if fine else None)
+            self.host.probed(
+                self.clock.now, streamer, how, 2 * WAY, machine.machine.load_report() if fine else None
+            )
 
 
 class Streamer:
@@ -166,8 +168,8 @@
         self.running, self.count, self.short = True, 0, False
         self.faults = self.machine.faults
         self.waiting: dict[tuple[str, Id, int], Front] = {}
-        self.draw = stream(model.seed, "streamer", name)
-        self.notes_draw = stream(model.seed, "notes", name)
+        self.draw = random_stream(model.seed, "streamer", name)
+        self.notes_draw = random_stream(model.seed, "notes", name)
         self.silent_since: float | None = None
         self.tells = self.clock.now + self.draw.uniform(0, model.kind.tell)
 
@@ -184,7 +186,7 @@
         identity = self.model.identities[front.name, viewing]
         self.log("post", identity=identity, front=front.name, title=out.ask.title, rung=out.rung,
                  cold=self.machine.warmth(now) < 1)  # fmt: skip
-        most = self.machine.knock(now)
+        most = self.machine.register_set_up(now)
         if most is not None:
             self.log("fell", set_ups=len(self.machine.set_ups), most=most)
         self.waiting[front.name, viewing, number] = front
@@ -198,19 +200,19 @@
         if self.waiting.pop((front.name, viewing, number), None) is None:
             return  # hung up on, or its process has died
         bad = self.faults.get("fail")
-        if self.machine.fallen or (bad and chance < bad.get("part", 1.0)):
+        if self.machine.overloaded or (bad and chance < bad.get("part", 1.0)):
             self.log("refused", identity=identity, status=500)
             self.clock.after(WAY, front.ended, viewing, number, EndReason.FAULTY)
             return
         if self.machine.full():
             self.log("refused", identity=identity, status=503)
-            self.clock.after(WAY, front.ended, viewing, number, EndReason.FULL, self.machine.load())
+            self.clock.after(WAY, front.ended, viewing, number, EndReason.FULL, self.machine.load_report())
             return
         self.count += 1
         name, now = f"{self.model.boots}-{self.count}", self.clock.now
         session = Session(name, identity, out.ask.title, out.rung, front.name, now)
         session.resource = viewing, number
-        self.machine.begin(self.clock.now, session)
+        self.machine.start_session(self.clock.now, session)
         self.log("started", identity=identity, session=session.name, front=front.name, title=out.ask.title,
                  rung=out.rung)  # fmt: skip
         self.clock.after(self.model.kind.join_wait, self._unjoined, session)
@@ -218,7 +220,7 @@
             self.log("unanswered", identity=identity, session=session.name)
             self.clock.after(WAY, front.ended, viewing, number, EndReason.BROKEN)
             return
-        load = self.machine.load()
+        load = self.machine.load_report()
         self.clock.after(WAY, front.started, viewing, number, self.name, session, load)
 
     def hung_up(self, front: Front, viewing: Id, number: int) -> None:
@@ -233,7 +235,7 @@
         session = front.plays.get((viewing, number))
         if session and session.name in self.machine.sessions and self.running and not self.muted(front):
             self.log("rung", identity=session.identity, session=session.name, rung=rung)
-            self.machine.step(self.clock.now, session, rung)
+            self.machine.change_rung(self.clock.now, session, rung)
 
     def delete(self, front: Front, viewing: Id, number: int, wanted: bool) -> None:
         session = front.plays.pop((viewing, number), None)
@@ -248,7 +250,7 @@
             self.clock.after(late, front.torn_down, viewing, number)
 
     def end(self, session: Session, reason: str, tell: bool = True) -> None:
-        got = self.machine.finish(self.clock.now, session)
+        got = self.machine.end_session(self.clock.now, session)
         if got is None:
             return
         told = dict(seconds=round(got[0], 2), earned=round(got[1], 3), joined=session.consent is not None)
@@ -283,7 +285,7 @@
         now = self.clock.now
         if order["do"] == "die":
             self.die()
-        self.machine.order(now, order)
+        self.machine.apply_command(now, order)
         if order["do"] == "start" and not self.running:
             self.running = True
             # What followed the old process learns at its next try that this is a new one.
@@ -321,7 +323,7 @@
         if tells:
             self.tells = now + kind.tell
         if self.running and (tells or share < 0.98 or self.short):
-            load = self.machine.load(now - late) if tells else None
+            load = self.machine.load_report(now - late) if tells else None
             for name in sorted({session.front for session in self.machine.sessions.values()}):
                 front = self.model.names.get(name)
                 if front and not self.muted(front):
@@ -342,7 +344,7 @@
 
     def __init__(self, model: "Model", arrival: Arrival):
         self.model, self.arrival, self.clock = model, arrival, model.clock
-        self.draw = stream(model.seed, "viewer", arrival.name)
+        self.draw = random_stream(model.seed, "viewer", arrival.name)
         self.left, self.tries, self.turn = arrival.length, 0, 0
         self.asked_at = self.began = 0.0
         self.identity, self.front, self.viewing = "", None, None
@@ -483,7 +485,7 @@
     ):
         self.day, self.seed, self.make, self.keep, self.luck = day, seed, make, keep, luck
         self.script: Script = days.script(day, seed)
-        self.kind = Kind(**{**days.farm_kind(day), **(kind or {})})
+        self.kind = MachineProfile(**{**days.machine_profile_values(day), **(kind or {})})
         self.clock, self.lines, self.boots = Clock(), [], 0
         self.identities: dict[tuple[str, Id], str] = {}
         self.where: dict[tuple[str, str, str], str] = {}
@@ -491,13 +493,13 @@
         self.fronts: dict[int, Front | None] = {}
         racks: dict[str, Rack] = {}
         self.machines: dict[str, Streamer] = {}
-        for i in range(day.size.streamers):
+        for i in range(day.settings.streamers):
             rack = racks.setdefault(days.rack_of(i, day), Rack(self.kind.rack, self.kind.sharing))
             self.machines[f"s{i}"] = Streamer(self, f"s{i}", days.zone_of(i, day), rack)
         self.racks = racks
-        self.late = day.size.list_late
+        self.late = day.settings.list_late
         self.listing = Listing(list(self.machines))
-        self.racked = {f"s{i}": days.rack_of(i, day) for i in range(day.size.streamers)}
+        self.racked = {f"s{i}": days.rack_of(i, day) for i in range(day.settings.streamers)}
         self.killed: dict[int, float] = {}
         self.held_most = self.held_sum = self.ticks = 0
 
@@ -509,14 +511,14 @@
 
     def run(self) -> list[tuple[float, str, str, dict]]:
         """Play the day to its end, and a little longer for those that are still there."""
-        for number in range(self.day.size.controllers):
+        for number in range(self.day.settings.controllers):
             self._start_front(number)
         for arrival in self.script.arrivals:
             self.clock.at(arrival.at, self._come, arrival)
-        for order in self.script.orders:
+        for order in self.script.steps:
             self.clock.at(order.at, self._carry_out, order)
         self.clock.at(TICK, self._tick)
-        self.clock.run(self.day.size.seconds + 40.0)
+        self.clock.run(self.day.settings.seconds + 40.0)
         self.log("stage", "stopping")
         for machine in self.machines.values():
             for session in list(machine.machine.sessions.values()):
@@ -525,7 +527,7 @@
 
     def choose(self, zone: int, draw) -> Front | None:
         up = [front for front in self.fronts.values() if front]
-        near = [front for front in up if front.number % self.day.size.zones == zone] or up
+        near = [front for front in up if front.number % self.day.settings.zones == zone] or up
         return near[int(draw.integers(len(near)))] if near else None
 
     def _come(self, arrival: Arrival) -> None:
@@ -534,8 +536,8 @@
     def _tick(self) -> None:
         now = self.clock.now
         for rack in self.racks.values():
-            rack.share_out(now)
-            rack.note(now)
+            rack.allocate(now)
+            rack.record_history(now)
         self.ticks += 1
         if self.ticks % int(1 / TICK) == 0:
             for machine in self.machines.values():
@@ -546,31 +548,31 @@
 
     # Troubles, as the stage of a rehearsal carries them out.
 
-    def _carry_out(self, order: Order) -> None:
-        self.log("stage", order.to, **order.what)
-        if order.to == "farm":
-            for name in order.what["on"]:
-                self.log(name, "order", **{k: v for k, v in order.what.items() if k != "on"})
-                self.machines[name].order(order.what)
-        elif order.to == "etcd":
-            raise NotModelled("a trouble of etcd is for rehearsals: the model has no etcd")
-        elif order.to == "list_late":
-            self.late = order.what["by"]
-        elif order.to == "list":
-            self.clock.after(self.late, self._relist, order.what, self.clock.now)
-        elif order.what["do"] == "kill":
-            for number in order.what["on"]:
+    def _carry_out(self, order: TroubleStep) -> None:
+        self.log("stage", order.target, **order.command)
+        if order.target == "farm":
+            for name in order.command["on"]:
+                self.log(name, "order", **{k: v for k, v in order.command.items() if k != "on"})
+                self.machines[name].order(order.command)
+        elif order.target == "etcd":
+            raise UnsupportedTroubleError("a trouble of etcd is for rehearsals: the model has no etcd")
+        elif order.target == "list_late":
+            self.late = order.command["by"]
+        elif order.target == "list":
+            self.clock.after(self.late, self._relist, order.command, self.clock.now)
+        elif order.command["do"] == "kill":
+            for number in order.command["on"]:
                 self._kill_front(number)
         else:
-            for number in order.what["on"]:
+            for number in order.command["on"]:
                 self._start_front(number)
 
     def _relist(self, what: dict, at: float) -> None:
-        self.listing.change(what, at)
-        self.log("stage", "listed", gone=self.listing.gone())
+        self.listing.apply(what, at)
+        self.log("stage", "listed", gone=self.listing.unavailable())
         for front in self.fronts.values():
             if front:
-                self.clock.after(LOOK / 2, self._list_to, front)
+                self.clock.after(LIST_POLL_SECONDS / 2, self._list_to, front)
 
     def _line(self, shown: tuple[str, str, float | None]) -> StreamerEntry:
         name, standing, started = shown
@@ -581,15 +583,15 @@
 
     def _list_to(self, front: Front) -> None:
         if front.up:
-            front.host.listed(self.clock.now, "whole", tuple(map(self._line, self.listing.shown())))
+            front.host.listed(self.clock.now, "whole", tuple(map(self._line, self.listing.visible())))
 
     def _kill_front(self, number: int) -> None:
         front = self.fronts[number]
         self.log("stage", "killed", front=number)
         self.fronts[number], front.up = None, False
-        if self.day.size.counted == "live":
+        if self.day.settings.counted == "live":
             self.killed[number] = self.clock.now
-            self.clock.after(self.day.size.ttl, self._recount)
+            self.clock.after(self.day.settings.ttl, self._recount)
         for client in list(front.clients.values()):
             if not client.stopped and client.began == 0.0:
                 client._answer(0, "broken")
@@ -600,7 +602,7 @@
 
     def _recount(self) -> None:
         """Controllers know each other through leases: the dead count until theirs have run out."""
-        now, ttl = self.clock.now, self.day.size.ttl
+        now, ttl = self.clock.now, self.day.settings.ttl
         live = [n for n, up in self.fronts.items() if up or now < self.killed.get(n, -1e9) + ttl]
         for rank, number in enumerate(sorted(live)):
             front = self.fronts[number]
@@ -622,11 +624,11 @@
         self.fronts[number] = self.names[front.name] = front
         self.log("stage", "front", number=number, address=["", front.port])
         self._list_to(front)
-        if self.day.size.counted == "live":
+        if self.day.settings.counted == "live":
             self._recount()
             self.clock.after(SETTLE_SECONDS, self._recount)
 
 
 def _site(day: Day, number: int, seed: int) -> Site:
     folder = Path(tempfile.gettempdir())
-    return parse_site(days.front_ini(day, number, seed, folder), folder / "model.ini")
+    return parse_site(days.controller_ini(day, number, seed, folder), folder / "model.ini")
--- a/herongap/fleet/seen.py
+++ b/herongap/fleet/observations.py
@@ -7,10 +7,10 @@
 
 # Two sockets of one exchange are read by different processes; what one does before another may be seen after
 # it.
-SLACK = 0.05
+CLOCK_SLACK_SECONDS = 0.05
 
 
-class Break(NamedTuple):
+class Violation(NamedTuple):
     """A broken rule: its number, when (seconds into the day), what, and the lines that show it."""
 
     rule: int
@@ -19,7 +19,7 @@
     evidence: list
 
 
-class Post(NamedTuple):
+class ObservedRequest(NamedTuple):
     """One POST of a client and what came of it."""
 
     name: str
@@ -32,7 +32,7 @@
     location: str
 
 
-class Out(NamedTuple):
+class ObservedTuneIn(NamedTuple):
     """One tune-in as a streamer saw it: from its POST until it was answered or its caller hung up."""
 
     streamer: str
@@ -46,7 +46,7 @@
     cold: bool
 
 
-class Held(NamedTuple):
+class ObservedSession(NamedTuple):
     """One session as a streamer held it."""
 
     streamer: str
@@ -54,20 +54,20 @@
     end: float
     front: str
     title: str
-    out: Out
+    out: ObservedTuneIn
     told: bool
     let_go: float
 
 
-class Run:
+class ObservedRun:
     """The logs of a rehearsal, put together by the identities of offers."""
 
     def __init__(self, outcome: Outcome):
         self.outcome, self.day, self.began = outcome, outcome.day, outcome.began
         self.package: dict[str, str] = {}
-        self.posts: list[Post] = []
-        self.outs: dict[str, list[Out]] = defaultdict(list)
-        self.sessions: dict[str, list[Held]] = defaultdict(list)
+        self.posts: list[ObservedRequest] = []
+        self.outs: dict[str, list[ObservedTuneIn]] = defaultdict(list)
+        self.sessions: dict[str, list[ObservedSession]] = defaultdict(list)
         self.rungs: dict[str, list[tuple[float, str, int]]] = defaultdict(list)
         self.fell: list[tuple[float, str, dict]] = []
         self.gone: list[tuple[float, set[str]]] = []
@@ -115,7 +115,9 @@
                 self.package[identity] = wants[who]
             elif what == "answered":
                 self.posts.append(
-                    Post(who, identity, d["asked"], at, d["status"], d["kind"], d["front"], d["location"])
+                    ObservedRequest(
+                        who, identity, d["asked"], at, d["status"], d["kind"], d["front"], d["location"]
+                    )
                 )
             elif what == "post":
                 open_outs[who, identity].append((at, d))
@@ -172,18 +174,20 @@
         """For how many seconds of a time a controller's process was stopped by the stage."""
         return sum(max(0.0, min(until, b) - max(since, a)) for a, b in self.paused.get(number, ()))
 
-    def _out(self, open_outs, who, identity, at, how, status) -> Out | None:
+    def _out(self, open_outs, who, identity, at, how, status) -> ObservedTuneIn | None:
         if not open_outs[who, identity]:
             return None
         begin, d = open_outs[who, identity].pop(0)
-        out = Out(who, begin, at, how, status, d["front"], d["rung"], d["title"], d.get("cold", False))
+        out = ObservedTuneIn(
+            who, begin, at, how, status, d["front"], d["rung"], d["title"], d.get("cold", False)
+        )
         self.outs[identity].append(out)
         return out
 
     def _session(self, identity, who, begin, end, started, out, told) -> None:
         let_go = self.let_go.get((who, started["session"]), float("inf"))
-        held = Held(who, begin, end, started["front"], started["title"], out, told, let_go)
+        held = ObservedSession(who, begin, end, started["front"], started["title"], out, told, let_go)
         self.sessions[identity].append(held)
 
-    def broken(self, rule: int, at: float, what: str, identity: str | None = None) -> Break:
-        return Break(rule, round(at - self.began, 3), what, self.lines.get(identity, []))
+    def broken(self, rule: int, at: float, what: str, identity: str | None = None) -> Violation:
+        return Violation(rule, round(at - self.began, 3), what, self.lines.get(identity, []))
--- a/herongap/fleet/runner.py
+++ b/herongap/fleet/runner.py
@@ -5,8 +5,8 @@
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from concurrent.futures.process import BrokenProcessPool
 
-from herongap.fleet.arms import Arm, Experiment, job
-from herongap.fleet.compare import wanted
+from herongap.fleet.compare import days_needed
+from herongap.fleet.experiment import Arm, Experiment, run_job
 from herongap.fleet.store import Store
 
 TRIES = 5  # times that the workers may die before the experiment does
@@ -22,7 +22,7 @@
     """
     plan = experiment.plan
     results: dict[str, list[dict]] = {arm.name: [] for arm in experiment.arms}
-    while days := wanted({n: [r["service"] for r in rs] for n, rs in results.items()}, plan):
+    while days := days_needed({n: [r["service"] for r in rs] for n, rs in results.items()}, plan):
         have = len(next(iter(results.values())))
         seeds = range(plan.seed + have, plan.seed + days)
         _fill(experiment.arms, seeds, store, workers, progress)
@@ -51,7 +51,7 @@
                 raise
 
 
-def plays(arm: Arm, seed: int, count: int, workers: int) -> list[dict]:
+def run_repeatedly(arm: Arm, seed: int, count: int, workers: int) -> list[dict]:
     """The same day played `count` times, other luck for its controllers each time; in the order of luck."""
     jobs = [(arm._replace(luck=luck), seed) for luck in range(count)]
     found = {played.luck: result for played, _, result in _results(jobs, workers)}
@@ -62,11 +62,11 @@
     """Each job's result as it comes, in any order."""
     if workers == 1 or len(jobs) < 2:
         for arm, seed in jobs:
-            yield arm, seed, job(arm, seed)
+            yield arm, seed, run_job(arm, seed)
         return
     # Spawned, not forked: a worker then has nothing of this process that a day could depend on.
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(min(workers, len(jobs)), mp_context=context) as pool:
-        pending = {pool.submit(job, arm, seed): (arm, seed) for arm, seed in jobs}
+        pending = {pool.submit(run_job, arm, seed): (arm, seed) for arm, seed in jobs}
         for future in as_completed(pending):
             yield *pending[future], future.result()
--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -8,7 +8,7 @@
 import math
 
 from herongap.errors import Unusable
-from herongap.fleet.day import Clients, Day, Machines, Share_, Size, Trouble
+from herongap.fleet.day import ClientSettings, Day, DaySettings, PackageSettings, StreamerSettings, Trouble
 
 STREAMERS, CONTROLLERS, RATE = 16, 4, 45.0  # what sockets on one machine bear
 SLACK = 1.0  # set-ups more that a cold streamer bears: the bench allows a little for chance
@@ -81,7 +81,7 @@
     # more streamers, sessions stay long beside a warm-up, in which a cold streamer takes its places once.
     filled = load * streamers * link / middle
     length = LONG * warm if whole else max(1.0, filled / RATE)
-    size = Size(
+    size = DaySettings(
         seconds=seconds,
         rate=filled / length if whole else RATE,
         controllers=controllers,
@@ -101,7 +101,7 @@
         extra_window=drawn["budget"]["window"] / 1e6 if drawn.get("budget") else 5.0,
     )
     uplink = sum(fam["uplink_kb"]) / len(fam["uplink_kb"]) * fam["racks"] / len(drawn["servers"])
-    machines = Machines(
+    machines = StreamerSettings(
         link=link,
         rack=uplink * streamers / size.racks,
         places=round(fam["core_slots"] * cores),
@@ -115,7 +115,7 @@
         tell=max(0.5, fam["tell"] / 1e6),
     )
     packages = {
-        c["name"]: Share_(
+        c["name"]: PackageSettings(
             share=c["share"],
             join_target=c["aim"] / 1e6,
             patience=c["deadline"] / 1e6,
@@ -130,7 +130,7 @@
         )
         for c, use in zip(drawn["classes"], fam["uses"], strict=True)
     }
-    clients = Clients(returns=fam["returns"])
+    clients = ClientSettings(returns=fam["returns"])
     return Day(size, clients, machines, packages, dict(_troubles(drawn, streamers, seconds)))
 
 
--- a/herongap/rehearsal/farm.py
+++ b/herongap/rehearsal/farm.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent.fileobject import FileObject
 
-from herongap.standins import Farm, Kind, Streamer
+from herongap.standins import Farm, MachineProfile, Streamer
 from herongap.standins.farm import Log
 
 
@@ -16,7 +16,7 @@
         what = json.load(text)
     kind = what["kind"]
     with open(what["log"], "w", encoding="utf-8", buffering=1 << 16) as log:
-        farm = Farm(Kind(**kind), Log(log.write), what["seed"])
+        farm = Farm(MachineProfile(**kind), Log(log.write), what["seed"])
         for name, zone, rack in what["streamers"]:
             Streamer(farm, name, zone, rack)
         print(json.dumps({name: st.address for name, st in farm.streamers.items()}), flush=True)
--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -17,13 +17,13 @@
 from herongap.accord.shares import with_whole
 from herongap.daemon.http_connection import Address
 from herongap.fleet.day import (
-    MEMBERS,
+    STORE_MEMBERS,
     Arrival,
     Day,
     Listing,
-    Order,
-    farm_kind,
-    front_ini,
+    TroubleStep,
+    controller_ini,
+    machine_profile_values,
     rack_of,
     script,
     zone_of,
@@ -54,11 +54,12 @@
     def start_farm(self) -> dict[str, Address]:
         """Start the streamers; their addresses."""
         what = {
-            "kind": farm_kind(self.day),
+            "kind": machine_profile_values(self.day),
             "seed": self.seed,
             "log": str(self.folder / "streamers.jsonl"),
             "streamers": [
-                [f"s{i}", zone_of(i, self.day), rack_of(i, self.day)] for i in range(self.day.size.streamers)
+                [f"s{i}", zone_of(i, self.day), rack_of(i, self.day)]
+                for i in range(self.day.settings.streamers)
             ],
         }
         (self.folder / "farm.json").write_text(json.dumps(what))
@@ -121,8 +122,8 @@
         self.day, self.folder, self.seed, self.actors = day, folder, seed, actors
         self.script = script(day, seed)
         self.began = 0.0
-        self.late = day.size.list_late
-        self.listing = Listing([f"s{i}" for i in range(day.size.streamers)])
+        self.late = day.settings.list_late
+        self.listing = Listing([f"s{i}" for i in range(day.settings.streamers)])
         self.places: dict[str, dict] = {}
         self.etcd: Etcd | None = None
         self.relays: dict[tuple[int, int], Relay] = {}
@@ -141,25 +142,25 @@
                     "rack": rack_of(i, self.day),
                 }  # fmt: skip
             (self.folder / "catalogue.json").write_text(json.dumps({"titles": self.script.titles}))
-            if self.day.size.list_by == "etcd":
-                self.etcd = Etcd(MEMBERS, time.monotonic, self.log)
+            if self.day.settings.list_by == "etcd":
+                self.etcd = Etcd(STORE_MEMBERS, time.monotonic, self.log)
                 fill(self.etcd.history, PREFIX, {name: self._value(name) for name in self.places})
-                for name, whole in self.day.wholes.items():
+                for name, whole in self.day.budgets.items():
                     # As an operator makes it. Made by a controller it is counted first: a linger passes.
                     made = with_whole(None, whole.whole, unused=True)
                     self.etcd.history.put(f"{PREFIX}budgets/{name}".encode(), made)
                 self._log_list()
             else:
                 self._write_list()
-            for number in range(self.day.size.controllers):
-                if number not in self.day.latecomers:
+            for number in range(self.day.settings.controllers):
+                if number not in self.day.late_joiners:
                     self._start_front(number)
             self.began = time.monotonic()
             playing = [gevent.spawn(self._follow_orders)]
             for arrival in self.script.arrivals:
                 self._sleep_until(arrival.at)
                 playing.append(gevent.spawn(self._live, arrival))
-            gevent.joinall(playing, timeout=self.day.size.seconds + 60)
+            gevent.joinall(playing, timeout=self.day.settings.seconds + 60)
             gevent.sleep(0.5)
         finally:
             self.log("stage", "stopping")
@@ -177,28 +178,28 @@
     # Troubles.
 
     def _follow_orders(self) -> None:
-        for order in self.script.orders:
+        for order in self.script.steps:
             self._sleep_until(order.at)
             self._carry_out(order)
 
-    def _carry_out(self, order: Order) -> None:
-        self.log("stage", order.to, **order.what)
-        if order.to == "farm":
-            self.actors.order(order.what)
-        elif order.to == "list_late":
-            self.late = order.what["by"]
-        elif order.to == "list":
+    def _carry_out(self, order: TroubleStep) -> None:
+        self.log("stage", order.target, **order.command)
+        if order.target == "farm":
+            self.actors.order(order.command)
+        elif order.target == "list_late":
+            self.late = order.command["by"]
+        elif order.target == "list":
             now = time.monotonic()
-            gevent.spawn_later(self.late, self._relist, order.what, now)
-        elif order.to == "etcd":
-            self._trouble_etcd(order.what)
-        elif order.to == "relays":
-            self._trouble_relays(order.what)
-        elif order.to == "members":
-            self._trouble_members(order.what)
+            gevent.spawn_later(self.late, self._relist, order.command, now)
+        elif order.target == "etcd":
+            self._trouble_etcd(order.command)
+        elif order.target == "relays":
+            self._trouble_relays(order.command)
+        elif order.target == "members":
+            self._trouble_members(order.command)
         else:
-            for number in order.what["on"]:
-                self._trouble_front(number, order.what)
+            for number in order.command["on"]:
+                self._trouble_front(number, order.command)
 
     def _trouble_front(self, number: int, what: dict) -> None:
         there = self.fronts.get(number)
@@ -250,7 +251,7 @@
                 (member.stop if what["do"] == "begin" else member.start)()
 
     def _relist(self, what: dict, at: float) -> None:
-        self.listing.change(what, at + self.wall)
+        self.listing.apply(what, at + self.wall)
         if self.etcd:
             self._put_list(what)
         else:
@@ -297,7 +298,7 @@
                     member.start()
             case "whole":
                 for name in what["names"]:
-                    self._set_whole(name, round(what["times"] * self.day.wholes[name].whole))
+                    self._set_whole(name, round(what["times"] * self.day.budgets[name].whole))
             case "forgotten":
                 self.etcd.history.delete(*(f"{PREFIX}budgets/{name}".encode() for name in what["names"]))
 
@@ -308,10 +309,10 @@
             self.etcd.history.put(key, with_whole(there["value"], whole))
 
     def _log_list(self) -> None:
-        self.log("stage", "listed", gone=self.listing.gone(), by=self.day.size.list_by)
+        self.log("stage", "listed", gone=self.listing.unavailable(), by=self.day.settings.list_by)
 
     def _write_list(self) -> None:
-        shown = self.listing.shown()
+        shown = self.listing.visible()
         lines = [self.places[n] | {"standing": standing, "started": start} for n, standing, start in shown]
         new = self.folder / "streamers.json.new"
         new.write_text(json.dumps({"streamers": lines}))
@@ -321,7 +322,7 @@
     def _start_front(self, number: int) -> None:
         file = self.folder / f"controller-{number}.ini"
         members = self._members(number) if self.etcd else None
-        file.write_text(front_ini(self.day, number, self.seed, self.folder, members))
+        file.write_text(controller_ini(self.day, number, self.seed, self.folder, members))
         self.fronts[number] = self.actors.start_front(number, file)
         self.log("stage", "front", number=number, address=list(self.fronts[number]))
         # Where streamers have the keys of tokens.
@@ -334,7 +335,7 @@
         for i, member in enumerate(self.etcd.members):
             if (number, i) not in self.relays:
                 self.relays[number, i] = Relay(member.address)
-        return ["{}:{}".format(*self.relays[number, i].address) for i in range(MEMBERS)]
+        return ["{}:{}".format(*self.relays[number, i].address) for i in range(STORE_MEMBERS)]
 
     # Viewers.
 
@@ -418,7 +419,7 @@
         does.
         """
         up = [n for n, address in self.fronts.items() if address]
-        near = [n for n in up if n % self.day.size.zones == arrival.zone]
+        near = [n for n in up if n % self.day.settings.zones == arrival.zone]
         return self.fronts[draw.choice(near or up)] if up else None
 
     def _ask(self, viewer: Viewer, arrival: Arrival, draw: random.Random):
--- a/herongap/standins/__init__.py
+++ b/herongap/standins/__init__.py
@@ -2,9 +2,9 @@
 flows.
 """
 
-from herongap.fleet.machine import Kind
+from herongap.fleet.machine import MachineProfile
 from herongap.standins.farm import Farm
 from herongap.standins.streamer import Streamer
 from herongap.standins.viewer import Tried, Viewer
 
-__all__ = ["Farm", "Kind", "Streamer", "Tried", "Viewer"]
+__all__ = ["Farm", "MachineProfile", "Streamer", "Tried", "Viewer"]
--- a/herongap/standins/farm.py
+++ b/herongap/standins/farm.py
@@ -7,7 +7,7 @@
 
 import gevent
 
-from herongap.fleet.machine import Kind, Rack
+from herongap.fleet.machine import MachineProfile, Rack
 
 TICK = 0.1  # seconds between two looks at the shares
 
@@ -25,7 +25,9 @@
 class Farm:
     """The streamers and their racks; each streamer adds itself."""
 
-    def __init__(self, kind: Kind, log: Log, seed: int, clock: Callable[[], float] = time.monotonic):
+    def __init__(
+        self, kind: MachineProfile, log: Log, seed: int, clock: Callable[[], float] = time.monotonic
+    ):
         self.kind, self.log, self.clock = kind, log, clock
         self.random = random.Random(seed)
         self.streamers: dict[str, object] = {}
@@ -46,8 +48,8 @@
             gevent.sleep(TICK)
             now = self.clock()
             for rack in self.racks.values():
-                rack.share_out(now)
-                rack.note(now)
+                rack.allocate(now)
+                rack.record_history(now)
             for st in self.streamers.values():
                 st.sweep(now)
 
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -96,7 +96,7 @@
             return
         if order["do"] == "die":
             self.die()
-        self.machine.order(self.clock(), order)
+        self.machine.apply_command(self.clock(), order)
         if order["do"] == "start" and not self.running:
             self.up()
 
@@ -165,7 +165,7 @@
             rung=int(layer),
             cold=self.machine.warmth(self.clock()) < 1,
         )
-        most = self.machine.knock(self.clock())
+        most = self.machine.register_set_up(self.clock())
         if most is not None:
             self.log(self.name, "fell", set_ups=len(self.machine.set_ups), most=most)
         if self.machine.muted(front):
@@ -179,7 +179,7 @@
             raise PeerDisconnectedError
         if (bad := self.faults.get("fail")) and self.farm.random.random() < bad.get("part", 1.0):
             return self._refuse(identity, problem("internal"))
-        if self.machine.fallen or not self.running:
+        if self.machine.overloaded or not self.running:
             return self._refuse(identity, problem("internal", "fell over"))
         if self.machine.full():
             return self._refuse(identity, problem("blocked"), self._load_header())
@@ -210,7 +210,7 @@
                 return self._refuse(identity, problem("offer-refused", str(fault)))
             session.resource = SessionResource(name, offer.identity[1], me)
             tag = session.resource.etag
-        self.machine.begin(self.clock(), session)
+        self.machine.start_session(self.clock(), session)
         self.log(self.name, "started", identity=identity, session=name, front=front, title=title, rung=rung)
         if "lose" in self.faults:
             # The session runs, its answer never arrives: what the caller cannot tell from one that never ran.
@@ -239,7 +239,7 @@
         )
 
     def _load_header(self) -> tuple[str, str]:
-        return LOAD_HEADER, write_load(self.machine.load())
+        return LOAD_HEADER, write_load(self.machine.load_report())
 
     def _layer(self, session: Session, request: Request) -> Reply:
         try:
@@ -247,12 +247,12 @@
         except ValueError as fault:
             return problem("bad-request", str(fault))
         self.log(self.name, "rung", identity=session.identity, session=session.name, rung=rung)
-        self.machine.step(self.clock(), session, rung)
+        self.machine.change_rung(self.clock(), session, rung)
         return Reply(200)
 
     def end(self, session: Session, reason: str, tell: bool = True) -> None:
         """A session ends; its front hears of it where it did not ask for it."""
-        if (got := self.machine.finish(self.clock(), session)) is None:
+        if (got := self.machine.end_session(self.clock(), session)) is None:
             return
         self.log(
             self.name,
@@ -333,7 +333,7 @@
             self._short = share < 0.98
             if now >= told:
                 told = now + self.kind.tell
-                load = self.machine.load(now - late)
+                load = self.machine.load_report(now - late)
                 self._note("load", {"link": round(load.link, 4), "rack": round(load.rack, 4)})
 
     def _consent(self) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 from herongap.ini import read_site
 from herongap.rehearsal.stage import Actors
 from herongap.rules import Controller
-from herongap.standins import Farm, Kind, Streamer, Viewer
+from herongap.standins import Farm, MachineProfile, Streamer, Viewer
 from herongap.standins.farm import Log
 
 INI = """
@@ -50,7 +50,9 @@
 [catalogue]
 file = catalogue.json
 """
-KIND = Kind((100.0, 300.0, 900.0), (0.3, 0.6, 1.0), 10000.0, 50000.0, 40, warm_up=4.0, set_up=(0.001, 0.01))
+KIND = MachineProfile(
+    (100.0, 300.0, 900.0), (0.3, 0.6, 1.0), 10000.0, 50000.0, 40, warm_up=4.0, set_up=(0.001, 0.01)
+)
 
 
 class World:
@@ -111,10 +113,10 @@
 
     def start_farm(self):
         self.log = open(self.folder / "streamers.jsonl", "w", encoding="utf-8")  # noqa: SIM115
-        from herongap.fleet.day import farm_kind, rack_of, zone_of
+        from herongap.fleet.day import machine_profile_values, rack_of, zone_of
 
-        self.farm = Farm(Kind(**farm_kind(self.day)), Log(self.log.write), self.seed)
-        for i in range(self.day.size.streamers):
+        self.farm = Farm(MachineProfile(**machine_profile_values(self.day)), Log(self.log.write), self.seed)
+        for i in range(self.day.settings.streamers):
             Streamer(self.farm, f"s{i}", zone_of(i, self.day), rack_of(i, self.day))
         return {name: st.address for name, st in self.farm.streamers.items()}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,21 +17,21 @@
 
 from herongap.cli import main
 from herongap.fleet import compare, runner
-from herongap.fleet.arms import job, read_experiment
 from herongap.fleet.bound import bound
 from herongap.fleet.checker import check
-from herongap.fleet.clock import Clock, stream
-from herongap.fleet.day import front_ini, read_day, script
+from herongap.fleet.clock import Clock, random_stream
+from herongap.fleet.day import controller_ini, read_day, script
+from herongap.fleet.experiment import read_experiment, run_job
 from herongap.fleet.figures import Outcome, report
-from herongap.fleet.fit import best, fit_record, zipf
-from herongap.fleet.links import equal, max_min
-from herongap.fleet.machine import Kind, Machine, Rack, Session
+from herongap.fleet.fit import best_distribution, fit_record, fit_zipf
+from herongap.fleet.links import max_min_rates, proportional_share
+from herongap.fleet.machine import Machine, MachineProfile, Rack, Session
 from herongap.fleet.model import Model, Viewer
 from herongap.fleet.store import Store
 from herongap.host import Recorder
 from herongap.ini import Faults, parse_site
 
-KIND = Kind((100.0, 300.0), (0.4, 1.0), 1000.0, 1500.0, 5, warm_up=10.0)
+KIND = MachineProfile((100.0, 300.0), (0.4, 1.0), 1000.0, 1500.0, 5, warm_up=10.0)
 PLAN = """
 [experiment]
 day = day.ini
@@ -48,7 +48,7 @@
 
 @given(st.lists(st.floats(0, 1e6), max_size=12), st.floats(1.0, 1e6))
 def test_shares_conserve_and_are_fair(asked, size):
-    given_ = max_min(asked, size)
+    given_ = max_min_rates(asked, size)
     assert sum(given_) <= size * (1 + 1e-9) and all(g <= a for g, a in zip(given_, asked, strict=True))
     if sum(asked) >= size:
         assert sum(given_) == pytest.approx(size)
@@ -57,7 +57,7 @@
         assert all(g == pytest.approx(max(given_)) for g in held)
     else:
         assert given_ == asked
-    share = equal(sum(asked), size)
+    share = proportional_share(sum(asked), size)
     assert share * sum(asked) <= size * (1 + 1e-9) and (
         share == 1.0 or share * sum(asked) == pytest.approx(size)
     )
@@ -68,33 +68,37 @@
     rack = Rack(1500.0, sharing)
     a, b = (Machine(KIND._replace(sharing=sharing), name, "", rack) for name in "ab")
     one = Session("1", "x", "t", 1, "f", 0.0)
-    a.begin(0.0, one)
+    a.start_session(0.0, one)
     assert a.share == 1.0
     for i in range(4):
-        a.begin(1.0, Session(f"a{i}", "x", "t", 1, "f", 1.0))
+        a.start_session(1.0, Session(f"a{i}", "x", "t", 1, "f", 1.0))
     assert a.share == pytest.approx(1000 / 1500) and a.full()
     for i in range(3):
-        b.begin(2.0, Session(f"b{i}", "x", "t", 1, "f", 2.0))
+        b.start_session(2.0, Session(f"b{i}", "x", "t", 1, "f", 2.0))
     # 1500 and 900 asked of 1500: in equal parts of what is asked, or 750 each.
     assert b.share == pytest.approx(1500 / 2400 if sharing == "equal" else 750 / 900)
-    b.order(3.0, {"do": "silent"})
-    seconds, earned = a.finish(4.0, one)
+    b.apply_command(3.0, {"do": "silent"})
+    seconds, earned = a.end_session(4.0, one)
     assert seconds == 4.0 and earned == pytest.approx(
         1.0 + 0.0
     )  # one whole second, then stalls beyond all value
     low = Session("low", "x", "t", 0, "f", 4.0)
     c = Machine(KIND, "c", "", Rack(1e9))
-    c.begin(4.0, low)
-    c.step(6.0, low, 1)
-    assert c.finish(9.0, low)[1] == pytest.approx(2 * 0.4 + 3 * 1.0)
+    c.start_session(4.0, low)
+    c.change_rung(6.0, low, 1)
+    assert c.end_session(9.0, low)[1] == pytest.approx(2 * 0.4 + 3 * 1.0)
 
 
 def test_a_cold_machine_falls_over_at_the_stated_pace_and_not_under_it():
     for pace, falls in ((0.45, False), (0.2, True)):
         m = Machine(KIND, "m", "", Rack(1e9), started=0.0)
         # 2.5 times 5 places in 10 s at 0.4 warmth: half a set-up a second, but one is always borne.
-        fell = [m.knock(n * pace) for n in range(1, 8)] if falls else [m.knock(n * 1.05) for n in range(1, 8)]
-        assert any(most is not None for most in fell) is falls and m.fallen is falls
+        fell = (
+            [m.register_set_up(n * pace) for n in range(1, 8)]
+            if falls
+            else [m.register_set_up(n * 1.05) for n in range(1, 8)]
+        )
+        assert any(most is not None for most in fell) is falls and m.overloaded is falls
 
 
 def test_time_runs_in_order_and_chance_goes_by_name():
@@ -103,7 +107,7 @@
         clock.at(at, seen.append, what)
     clock.at(1.5, lambda: clock.after(0.5, seen.append, "d"))
     assert clock.run(5.0) == 5 and seen == ["a", "b", "c", "d"] and clock.now == 5.0
-    assert stream(1, "x").random() == stream(1, "x").random() != stream(1, "y").random()
+    assert random_stream(1, "x").random() == random_stream(1, "x").random() != random_stream(1, "y").random()
 
 
 @pytest.fixture
@@ -165,7 +169,7 @@
 
 
 def test_the_models_front_reads_the_file_that_a_rehearsals_does(bad, tmp_path):
-    made = parse_site(front_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
+    made = parse_site(controller_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
     model = Model(bad, 7)
     model.run()
     assert model.fronts[1].site.charter == made.charter and made.charter.me == 1
@@ -214,8 +218,8 @@
 def test_arms_that_differ_are_told_and_those_that_do_not_are_not(tmp_path):
     def verdict(b):
         made = experiment(tmp_path, least=6, most=6, b=b)
-        results = {arm.name: [job(arm, seed)["service"] for seed in range(1, 7)] for arm in made.arms}
-        return compare.paired(results["b"], results["a"], 0.95, 2)
+        results = {arm.name: [run_job(arm, seed)["service"] for seed in range(1, 7)] for arm in made.arms}
+        return compare.paired_difference(results["b"], results["a"], 0.95, 2)
 
     timid, same = verdict("set = MARK=0.1"), verdict("luck = 3")
     assert timid.differs and timid.mean < 0 and not same.differs and same.half > 0
@@ -224,22 +228,23 @@
 def test_intervals_cover_as_often_as_they_say():
     draw = np.random.default_rng(5)
     hits = sum(
-        not compare.paired(list(draw.normal(0, 1, 12)), [0.0] * 12, 0.95, 2).differs for _ in range(2000)
+        not compare.paired_difference(list(draw.normal(0, 1, 12)), [0.0] * 12, 0.95, 2).differs
+        for _ in range(2000)
     )
     assert 0.935 < hits / 2000 < 0.965
     hits = 0
     for _ in range(2000):
         one, *others = draw.normal(3, 2, 9)
-        told = compare.foreseen(others, 0.95)
+        told = compare.prediction_interval(others, 0.95)
         hits += told.low <= one <= told.high
     assert 0.935 < hits / 2000 < 0.965, "one more play falls into the interval as often as it says"
-    wide = compare.paired([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 4)
-    assert wide.half > compare.paired([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 2).half
+    wide = compare.paired_difference([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 4)
+    assert wide.half > compare.paired_difference([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 2).half
     plan = type("P", (), {"least": 4, "most": 20, "batch": 3, "confidence": 0.95, "half_width": 0.1})
-    assert compare.wanted({"a": [], "b": []}, plan) == 4
-    assert compare.wanted({"a": [0.0] * 4, "b": [0.0, 1.0, 0.0, 1.0]}, plan) == 7
-    assert compare.wanted({"a": [0.0] * 4, "b": [0.5] * 4}, plan) == 0
-    assert compare.wanted({"a": [0.0] * 20, "b": [0.0, 1.0] * 10}, plan) == 0
+    assert compare.days_needed({"a": [], "b": []}, plan) == 4
+    assert compare.days_needed({"a": [0.0] * 4, "b": [0.0, 1.0, 0.0, 1.0]}, plan) == 7
+    assert compare.days_needed({"a": [0.0] * 4, "b": [0.5] * 4}, plan) == 0
+    assert compare.days_needed({"a": [0.0] * 20, "b": [0.0, 1.0] * 10}, plan) == 0
 
 
 @pytest.mark.parametrize(
@@ -278,9 +283,9 @@
             front.host.recorder = Recorder(lines.append)
             front.host.recorder.start(0.0, 1, front.site.charter)
 
-    size = bad.size.model_copy(update={"seconds": 60.0, "controllers": 1})
+    size = bad.settings.model_copy(update={"seconds": 60.0, "controllers": 1})
     alone = bad.clients.model_copy(update={"returns": 0.0})
-    model = Model(bad._replace(troubles={}, size=size, clients=alone), 4)
+    model = Model(bad._replace(troubles={}, settings=size, clients=alone), 4)
     start, model._start_front = model._start_front, recorded
     model.run()
     found = fit_record(lines[:-1] + [lines[-1][:10]])  # cut in the middle of a line
@@ -289,9 +294,9 @@
     set_up = next(q for q in found.quantities if q.name == "set-up")
     assert 0.01 < set_up.mean < 0.05 and set_up.distance < 0.2
     draw = np.random.default_rng(1)
-    assert best("x", list(draw.exponential(2.0, 4000))).mean == pytest.approx(2.0, rel=0.1)
-    assert best("x", list(draw.lognormal(0, 1, 4000))).family == "lognormal"
-    exponent, error = zipf(
+    assert best_distribution("x", list(draw.exponential(2.0, 4000))).mean == pytest.approx(2.0, rel=0.1)
+    assert best_distribution("x", list(draw.lognormal(0, 1, 4000))).family == "lognormal"
+    exponent, error = fit_zipf(
         sorted(np.bincount(draw.choice(30, 20000, p=(w := np.arange(1, 31) ** -1.1) / w.sum())))[::-1]
     )
     assert abs(exponent - 1.1) < 5 * error + 0.03
@@ -349,11 +354,15 @@
 
 def test_a_bound_is_above_what_a_controller_gets_and_says_what_binds(bad):
     day = bad._replace(troubles={})
-    roomy = day._replace(machines=day.machines.model_copy(update={"link": 1e6, "rack": 1e6, "places": 500}))
+    roomy = day._replace(
+        streamer_settings=day.streamer_settings.model_copy(update={"link": 1e6, "rack": 1e6, "places": 500})
+    )
     assert bound(roomy, script(roomy, 1)).service == pytest.approx(1.0, abs=0.01)
-    tight = day._replace(machines=day.machines.model_copy(update={"link": 700.0, "rack": 1e6}))
+    tight = day._replace(
+        streamer_settings=day.streamer_settings.model_copy(update={"link": 700.0, "rack": 1e6})
+    )
     found = bound(tight, script(tight, 1))
     assert found.service < 0.9 and found.binds["links"] > 0.3 and found.binds["uplinks"] < 0.01
     with pytest.raises(ValueError, match="stalls"):
-        heavy = day._replace(size=day.size.model_copy(update={"values": [1.0, 2.0, 5.0, 9.0]}))
+        heavy = day._replace(settings=day.settings.model_copy(update={"values": [1.0, 2.0, 5.0, 9.0]}))
         bound(heavy, script(heavy, 1))
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -362,9 +362,9 @@
     w = world(streamers=1)
     viewers = [w.viewer(f"v{i}") for i in range(10)]
     assert [v.post(2).status for v in viewers] == [201] * 10
-    asked = w.streamers[0].machine.asked
+    asked = w.streamers[0].machine.demand
     w.order("sag", to=0.3)
-    w.until(lambda: w.count("rung") > 0 and w.streamers[0].machine.asked < asked, seconds=10)
+    w.until(lambda: w.count("rung") > 0 and w.streamers[0].machine.demand < asked, seconds=10)
     host = w.daemon.host
     w.until(
         lambda: (
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -5,10 +5,10 @@
 
 import pytest
 
+from herongap.fleet.budget_rules import count_events
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day
-from herongap.fleet.seen import Run
-from herongap.fleet.wholes import tally
+from herongap.fleet.observations import ObservedRun
 from herongap.rehearsal import play
 from herongap.rehearsal.stage import Actors
 
@@ -111,7 +111,7 @@
 def test_a_fleet_budget_is_kept_while_processes_and_connections_to_the_store_fail(tmp_path, mistake):
     outcome = play_day(tmp_path, mistake)
     found = check(outcome)
-    counts = tally(Run(outcome))
+    counts = count_events(ObservedRun(outcome))
     assert counts["pauses"] == 1 and counts["kills"] == 1 and counts["commits"] > 20, counts
     assert counts["counted"]["held"] > 100 and counts["counted"]["begun"] > 100, counts
     if mistake:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -3,7 +3,7 @@
 import pytest
 from loopback import Here
 
-from herongap.fleet.baselines import with_parts
+from herongap.fleet.baselines import with_components
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome, report
@@ -171,7 +171,7 @@
         text = text.replace("places = 60", "places = 16")
     if rule == 6:
         text = text.replace("length = 1.5", "length = 1.5\nextra_free = 1\nextra_share = 0.01")
-    make = with_parts(Controller, **make) if isinstance(make, dict) else make
+    make = with_components(Controller, **make) if isinstance(make, dict) else make
     outcome = rehearse(tmp_path, make, spoil, text + trouble)
     found = check(outcome)
     assert {b.rule for b in found} == {rule}, found[:3]
@@ -237,12 +237,12 @@
     day = from_bench(drawn())
     (trouble,) = day.troubles.values()
     assert (trouble.kind, trouble.at, trouble.lasts, trouble.part) == ("silent", 2.0, 3.0, 0.1)
-    assert day.size.streamers == 16 and day.size.controllers == 4 and script(day, 1).orders
+    assert day.settings.streamers == 16 and day.settings.controllers == 4 and script(day, 1).steps
     whole = from_bench(drawn(), whole=True)
-    assert whole.size.streamers == 20 and whole.size.controllers == 60
-    asked = [d.size.rate * d.size.length / d.size.streamers for d in (day, whole)]
+    assert whole.settings.streamers == 20 and whole.settings.controllers == 60
+    asked = [d.settings.rate * d.settings.length / d.settings.streamers for d in (day, whole)]
     assert asked[0] == pytest.approx(asked[1]), "links are asked for alike at either size"
-    assert whole.size.length > 2 * whole.machines.warm_up
+    assert whole.settings.length > 2 * whole.streamer_settings.warm_up
     odd = {"kind": "meteor", "at": 0, "len": 1, "size": 0, "extra": 0, "on": [], "steps": []}
     with pytest.raises(Unplayable, match="meteor"):
         from_bench(drawn(troubles=[odd]))
