--- a/herongap/fleet/machine.py
+++ b/herongap/fleet/machine.py
@@ -1,7 +1,7 @@
-"""What a streamer is, apart from its sockets: places, link, warm-up, falling over, what its viewers get.
+"""A streamer without its sockets: places, link, warm-up, failure under overload, and the value of sessions.
 
-The stand-in streamers of a rehearsal and those of the model are this same code; only what carries requests
-to them differs. Times are the caller's clock in seconds, rates kB a second.
+The stand-in streamers of a rehearsal and the streamers of the model both run this code; they differ only in
+the transport of requests. Times are seconds of the caller's clock, rates are kB a second.
 """
 
 from collections import deque
@@ -12,13 +12,13 @@
 
 
 class MachineProfile(NamedTuple):
-    """What all streamers of a farm have in common.
+    """The properties that all simulated streamers share.
 
-    `link` is a streamer's, `rack` a rack's uplink; it falls over where in `tip_after` seconds more set-ups
-    come than `fall_multiple` times places / warm_up, times the share that it has warmed, and `slack` set-ups
-    on top. `sharing` is how an uplink is shared among its streamers, "equal" or "max_min". Under
-    `leave_under` of its rate a viewer leaves at a rate of `leave_rate` a second times what is missing to
-    that.
+    `link` is the bandwidth of a streamer, `rack` that of a rack's uplink. A streamer that is warming up fails
+    when more set-ups arrive within `tip_after` seconds than `fall_multiple` times places / warm_up, times the
+    part of its capacity that it has warmed to, plus `slack` set-ups. `sharing` is how an uplink is divided
+    among its streamers, "equal" or "max_min". A viewer that gets less than `leave_under` of its rate leaves
+    with probability `leave_rate` times the missing part, each second.
     """
 
     ladder: tuple[float, ...]
@@ -44,7 +44,7 @@
 
 
 class Session:
-    """One viewing at a machine. What it has earned is read off the machine's integrals."""
+    """One viewing at a machine. Its earned value is computed from the machine's cumulative values."""
 
     __slots__ = (
         "name",
@@ -55,168 +55,181 @@
         "began",
         "consent",
         "earned",
-        "since",
+        "value_at_rung_start",
         "resource",
     )
 
     def __init__(self, name: str, identity: str, title: str, rung: int, front: str, now: float):
         self.name, self.identity, self.title, self.rung, self.front = name, identity, title, rung, front
         self.began, self.consent = now, None
-        self.earned, self.since, self.resource = 0.0, 0.0, None
+        self.earned, self.value_at_rung_start, self.resource = 0.0, 0.0, None
 
 
 class Machine:
-    """One streamer."""
+    """One streamer: its sessions, its faults and the share of their rate that its sessions get."""
 
     def __init__(
-        self, kind: MachineProfile, name: str, zone: str, rack: "Rack", started: float | None = None
+        self, profile: MachineProfile, name: str, zone: str, rack: "Rack", started: float | None = None
     ):
-        self.kind, self.name, self.zone, self.rack, self.started = kind, name, zone, rack, started
+        self.profile, self.name, self.zone, self.rack, self.started = profile, name, zone, rack, started
         self.sessions: dict[str, Session] = {}
-        self.demand, self.sag, self.mute, self.overloaded = 0.0, 1.0, False, False
+        self.demand, self.link_factor, self.silenced, self.overloaded = 0.0, 1.0, False, False
         self.faults: dict[str, dict] = {}
-        self.share, self.ratio, self.at = 1.0, 0.0, 0.0
-        # For each rung, what a viewer there has earned since the start: sessions keep only where they came
-        # in.
-        self.gains = [0.0] * len(kind.ladder)
+        self.share, self.utilization, self.accounted_until = 1.0, 0.0, 0.0
+        # For each rung, the value that a session there would have earned since the start. A session stores
+        # the value at which it joined its rung.
+        self.cumulative_value = [0.0] * len(profile.ladder)
         self.set_ups: deque[float] = deque()
-        # (time, link ratio, rack ratio, share): what notes tell some time later.
-        self.past: deque[tuple[float, float, float, float]] = deque(maxlen=200)
+        # (time, link utilization, rack utilization, share), for reports that are sent with a delay.
+        self.history: deque[tuple[float, float, float, float]] = deque(maxlen=200)
         rack.machines.append(self)
 
     def warmth(self, now: float) -> float:
-        """The part of its capacity that it has warmed to."""
+        """The part of its capacity that is available: `cold_start` after a start, 1 after the warm-up."""
         if self.started is None:
             return 1.0
-        k = self.kind
-        return min(1.0, k.cold_start + (1 - k.cold_start) * max(0.0, now - self.started) / k.warm_up)
+        profile = self.profile
+        return min(
+            1.0,
+            profile.cold_start + (1 - profile.cold_start) * max(0.0, now - self.started) / profile.warm_up,
+        )
 
     def link(self, now: float) -> float:
-        return max(1.0, self.kind.link * self.sag * self.warmth(now))
+        """The bandwidth of its link, reduced by a fault and by its warm-up."""
+        return max(1.0, self.profile.link * self.link_factor * self.warmth(now))
 
     def full(self) -> bool:
-        """Whether it turns set-ups away."""
-        over = self.kind.full_from and self.ratio >= self.kind.full_from
-        return bool(over) or len(self.sessions) >= self.kind.places
+        """Whether it rejects further set-ups."""
+        over_threshold = self.profile.full_from and self.utilization >= self.profile.full_from
+        return bool(over_threshold) or len(self.sessions) >= self.profile.places
 
     def register_set_up(self, now: float) -> float | None:
-        """A set-up arrives; if that pushes it over, how many would have been borne."""
-        k = self.kind
-        while self.set_ups and self.set_ups[0] <= now - k.tip_after:
+        """Counts a set-up. Returns the limit if this set-up overloads a streamer that is warming up."""
+        profile = self.profile
+        while self.set_ups and self.set_ups[0] <= now - profile.tip_after:
             self.set_ups.popleft()
         self.set_ups.append(now)
-        if self.overloaded or self.started is None or now - self.started >= k.warm_up:
+        if self.overloaded or self.started is None or now - self.started >= profile.warm_up:
             return None
-        most = max(1.0, k.fall_multiple * k.tip_after * k.places / k.warm_up * self.warmth(now))
-        self.overloaded = len(self.set_ups) > most + k.slack
-        return most if self.overloaded else None
+        allowed = max(
+            1.0,
+            profile.fall_multiple * profile.tip_after * profile.places / profile.warm_up * self.warmth(now),
+        )
+        self.overloaded = len(self.set_ups) > allowed + profile.slack
+        return allowed if self.overloaded else None
 
     def start_session(self, now: float, session: Session) -> None:
+        """Adds a session at its rung."""
         self.advance(now)
         self.sessions[session.name] = session
-        session.since = self.gains[session.rung]
-        self.demand += self.kind.ladder[session.rung]
+        session.value_at_rung_start = self.cumulative_value[session.rung]
+        self.demand += self.profile.ladder[session.rung]
         self.rack.allocate(now)
 
     def change_rung(self, now: float, session: Session, rung: int) -> None:
-        """A session goes to another rung."""
+        """Moves a session to another rung."""
         self.advance(now)
-        session.earned += self.gains[session.rung] - session.since
-        self.demand += self.kind.ladder[rung] - self.kind.ladder[session.rung]
-        session.rung, session.since = rung, self.gains[rung]
+        session.earned += self.cumulative_value[session.rung] - session.value_at_rung_start
+        self.demand += self.profile.ladder[rung] - self.profile.ladder[session.rung]
+        session.rung, session.value_at_rung_start = rung, self.cumulative_value[rung]
         self.rack.allocate(now)
 
     def end_session(self, now: float, session: Session) -> tuple[float, float] | None:
-        """A session ends: its seconds, and the value it earned; None if it had ended already."""
+        """Ends a session. Returns its seconds and its earned value, or None if it had ended already."""
         if session.name not in self.sessions:
             return None
         self.advance(now)
         del self.sessions[session.name]
-        session.earned += self.gains[session.rung] - session.since
-        self.demand -= self.kind.ladder[session.rung]
+        session.earned += self.cumulative_value[session.rung] - session.value_at_rung_start
+        self.demand -= self.profile.ladder[session.rung]
         if not self.sessions:
-            self.demand = 0.0  # sums of floats leave crumbs
+            self.demand = 0.0  # discards the accumulated rounding error
         self.rack.allocate(now)
         return now - session.began, session.earned
 
     def advance(self, now: float) -> None:
-        """Add what was earned since the last look, at the share that held since then."""
-        passed, self.at = now - self.at, now
-        missing = self.kind.stall * max(0.0, 0.98 - (0.0 if self.mute else self.share))
-        if passed > 0 and self.sessions:
-            for rung, value in enumerate(self.kind.values):
+        """Adds the value earned since the last call, at the share that has applied since then."""
+        elapsed, self.accounted_until = now - self.accounted_until, now
+        missing = self.profile.stall * max(0.0, 0.98 - (0.0 if self.silenced else self.share))
+        if elapsed > 0 and self.sessions:
+            for rung, value in enumerate(self.profile.values):
                 if value > missing:
-                    self.gains[rung] += passed * (value - missing)
+                    self.cumulative_value[rung] += elapsed * (value - missing)
 
     def muted(self, front: str = "") -> bool:
-        """Whether nothing from here reaches the front of that name (no front at all, without one)."""
+        """Whether no message reaches the controller of that name, or without a name, any controller."""
         if "silent" in self.faults or "hang" in self.faults:
             return True
         cut = self.faults.get("cut")
         return bool(cut and front and any(front.startswith(name) for name in cut["fronts"]))
 
-    def apply_command(self, now: float, order: dict) -> None:
-        """A fault begins or ends, or its process starts anew, cold; what else that means is the caller's."""
-        match order["do"]:
+    def apply_command(self, now: float, command: dict) -> None:
+        """Begins or ends a fault, or starts the process anew, cold.
+
+        The caller handles the effects on connections and sessions.
+        """
+        match command["do"]:
             case "start":
                 self.started, self.overloaded = now, False
                 self.set_ups.clear()
             case "sag":
-                self.sag = order["to"]
+                self.link_factor = command["to"]
             case "heal":
                 self.faults.clear()
-                self.sag = 1.0
+                self.link_factor = 1.0
             case "sound":
-                self.faults.pop(order["fault"], None)
+                self.faults.pop(command["fault"], None)
             case "die":
                 pass
             case fault:
-                self.faults[fault] = order
+                self.faults[fault] = command
         self.advance(now)
-        self.mute = self.muted()
+        self.silenced = self.muted()
         self.rack.allocate(now)
 
     def load_report(self, at: float | None = None) -> LoadReport:
-        """Asked over given of link and uplink, now or as it was at a time before."""
+        """The utilization (demand over capacity) of link and uplink, now or at an earlier time."""
         if at is not None:
-            for then, ratio, rack, _ in reversed(self.past):
+            for then, ratio, rack, _ in reversed(self.history):
                 if then <= at:
                     return LoadReport(ratio, None, rack)
-        return LoadReport(self.ratio, None, self.rack.ratio)
+        return LoadReport(self.utilization, None, self.rack.utilization)
 
     def share_at(self, at: float) -> float:
-        """The share that was delivered at a time before."""
-        return next((share for then, _, _, share in reversed(self.past) if then <= at), 1.0)
+        """The share of their rate that sessions got at an earlier time."""
+        return next((share for then, _, _, share in reversed(self.history) if then <= at), 1.0)
 
 
 class Rack:
-    """Machines behind one uplink."""
+    """The machines behind one uplink."""
 
-    def __init__(self, size: float, sharing: str = "equal"):
-        self.size, self.sharing, self.ratio = size, sharing, 0.0
+    def __init__(self, capacity: float, sharing: str = "equal"):
+        self.capacity, self.sharing, self.utilization = capacity, sharing, 0.0
         self.machines: list[Machine] = []
 
     def allocate(self, now: float) -> None:
-        """Give every machine its share; those of all change where one asks for more or less.
+        """Computes the share of every machine; all change when the demand of one changes.
 
-        The smaller of two shares holds: that of the machine's own link, and that of the uplink, either equal
-        for all that is asked of it or what max-min fairness leaves of what passes the links.
+        A machine gets the smaller of two shares: that of its own link, and that of the uplink. The uplink's
+        share is either the same for its whole demand, or the max-min fair part of what passes the links.
         """
-        asked = sum(m.demand for m in self.machines)
-        self.ratio = asked / self.size
+        demand = sum(m.demand for m in self.machines)
+        self.utilization = demand / self.capacity
         passed = None
-        if self.sharing == "max_min" and asked > self.size:
-            passed = max_min_rates([min(m.demand, m.link(now)) for m in self.machines], self.size)
+        if self.sharing == "max_min" and demand > self.capacity:
+            passed = max_min_rates([min(m.demand, m.link(now)) for m in self.machines], self.capacity)
         for i, m in enumerate(self.machines):
             m.advance(now)
             link = m.link(now)
-            m.ratio = m.demand / link
+            m.utilization = m.demand / link
             through = (
-                proportional_share(asked, self.size) if passed is None else passed[i] / max(m.demand, 1e-9)
+                proportional_share(demand, self.capacity)
+                if passed is None
+                else passed[i] / max(m.demand, 1e-9)
             )
             m.share = min(proportional_share(m.demand, link), through, 1.0)
 
     def record_history(self, now: float) -> None:
-        """Keep what holds now for the notes that will tell it later."""
+        """Records utilization and shares for reports that are sent with a delay."""
         for m in self.machines:
-            m.past.append((now, m.ratio, self.ratio, m.share))
+            m.history.append((now, m.utilization, self.utilization, m.share))
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -1,7 +1,7 @@
-"""One day in virtual time: real controllers of the library, modelled streamers, viewers, what lies between.
+"""Simulates one day in virtual time: real controllers of the library, simulated streamers and viewers.
 
-The model writes the lines that stand-ins and clients of a rehearsal write, of the same shape, so that the
-same checker and the same report judge both. A day's script is the same for both too.
+The model writes log entries of the same format as the stand-ins and clients of a rehearsal, so that the same
+checker and the same report evaluate both. Both also play the same script of a day.
 """
 
 import tempfile
@@ -22,67 +22,87 @@
 from herongap.rules import Controller
 
 Id = int | str
-TICK = 0.25  # seconds between two looks at what changes by itself: warmth, notes
-CLOSE = 1.6  # seconds until a front gives up on a teardown that nobody confirms
-LOST_AFTER = 4.0  # seconds without consent after which a viewer takes its session for lost
-FRONT_GONE = 2.0  # seconds after which a streamer ends what a lost front held
-COME_AGAIN = (0.3, 1.2)
-CLIENT_MS = 0.0015  # seconds between a client and its front, one way
-WAY = 0.0012  # seconds between a front and a streamer, one way, and what both do with a message
-
-
-class Out(NamedTuple):
-    """A tune-in on its way, as the model's network knows it."""
-
-    ask: ViewingRequest
+# Interval between updates of what changes without an event: warm-up, allocated rates and reports.
+TICK_SECONDS = 0.25
+# Time after which a controller stops waiting for the confirmation of a teardown.
+TEARDOWN_TIMEOUT_SECONDS = 1.6
+# Time without an answer to its consent checks after which a viewer considers its session lost.
+VIEWER_TIMEOUT_SECONDS = 4.0
+# Time after which a streamer ends the sessions of a controller that is gone.
+CONTROLLER_GONE_SECONDS = 2.0
+# Range from which a viewer draws its delay before the next request.
+RETRY_DELAY_SECONDS = (0.3, 1.2)
+# One-way delay between a client and its controller.
+CLIENT_DELAY_SECONDS = 0.0015
+# One-way delay between a controller and a streamer, with the time that both need to process a message.
+STREAMER_DELAY_SECONDS = 0.0012
+
+
+class PendingTuneIn(NamedTuple):
+    """A tune-in in flight on the simulated network."""
+
+    request: ViewingRequest
     number: int
     streamer: str
     rung: int
 
 
-class Front:
-    """One controller and its port to the model's streamers."""
+class SimulatedController:
+    """One controller process, and the host's port to the simulated streamers."""
 
-    def __init__(self, model: "Model", number: int, site: Site, seed: int, make: Callable):
+    def __init__(self, model: "Model", number: int, site: Site, seed: int, controller_type: Callable):
         self.model, self.number, self.site = model, number, site
         self.clock = model.clock
-        model.boots += 1
-        # As a restarted front is another one to streamers.
-        self.name, self.port = f"herongap-{number}-{model.boots}", model.boots
-        self.up, self.armed, self.began = True, 0, model.clock.now
-        self.clients: dict[Id, Viewer] = {}
-        self.outs: dict[tuple[Id, int], Out] = {}
-        self.plays: dict[tuple[Id, int], Session] = {}
-        self.follows: set[str] = set()
-        self.host = Host(self.clock.now, seed, site.charter, self, None, make)
-
-    # The port.
-
-    def tune_in(self, ask: ViewingRequest, number: int, streamer: str, rung: int, time_out: float) -> None:
-        self.outs[ask.viewing, number] = Out(ask, number, streamer, rung)
-        self.clock.after(WAY, self._connected, ask.viewing, number)
+        model.process_count += 1
+        # The name has a process number: streamers see a restarted controller as another one.
+        self.name, self.port = f"herongap-{number}-{model.process_count}", model.process_count
+        self.running, self.wake_generation, self.started_at = True, 0, model.clock.now
+        self.clients: dict[Id, SimulatedViewer] = {}
+        self.pending: dict[tuple[Id, int], PendingTuneIn] = {}
+        self.sessions: dict[tuple[Id, int], Session] = {}
+        self.followed_streamers: set[str] = set()
+        self.host = Host(self.clock.now, seed, site.charter, self, None, controller_type)
+
+    # The host's port; `herongap.host.port` documents these methods.
+
+    def tune_in(
+        self, request: ViewingRequest, number: int, streamer: str, rung: int, time_out: float
+    ) -> None:
+        self.pending[request.viewing, number] = PendingTuneIn(request, number, streamer, rung)
+        self.clock.after(STREAMER_DELAY_SECONDS, self._connected, request.viewing, number)
 
     def call_off(self, viewing: Id, number: int, streamer: str) -> None:
-        if self.outs.pop((viewing, number), None):
-            self.clock.after(WAY, self.model.machines[streamer].hung_up, self, viewing, number)
+        if self.pending.pop((viewing, number), None):
+            self.clock.after(
+                STREAMER_DELAY_SECONDS, self.model.streamers[streamer].cancel_set_up, self, viewing, number
+            )
 
     def set_rung(self, viewing: Id, number: int, streamer: str, rung: int) -> None:
-        self.clock.after(WAY, self.model.machines[streamer].layer, self, viewing, number, rung)
+        self.clock.after(
+            STREAMER_DELAY_SECONDS, self.model.streamers[streamer].change_rung, self, viewing, number, rung
+        )
 
     def tear_down(self, viewing: Id, number: int, streamer: str, wanted: bool) -> None:
-        self.clock.after(WAY, self.model.machines[streamer].delete, self, viewing, number, wanted)
+        self.clock.after(
+            STREAMER_DELAY_SECONDS,
+            self.model.streamers[streamer].delete_session,
+            self,
+            viewing,
+            number,
+            wanted,
+        )
 
     def answer(self, viewing: Id, answer: Answer) -> None:
         client = self.clients[viewing]
         if answer.verdict != "plays":
             del self.clients[viewing]
-        self.clock.after(CLIENT_MS, client.answered, self, viewing, answer)
+        self.clock.after(CLIENT_DELAY_SECONDS, client.receive_answer, self, viewing, answer)
 
-    def viewing_ended(self, viewing: Id, how: EndReason) -> None:
+    def viewing_ended(self, viewing: Id, reason: EndReason) -> None:
         self.clients.pop(viewing, None)
 
     def probe(self, streamer: str) -> None:
-        self.clock.after(2 * WAY, self._probed, streamer)
+        self.clock.after(2 * STREAMER_DELAY_SECONDS, self._probe_answered, streamer)
 
     def follow(self) -> None:
         return None
@@ -91,447 +111,487 @@
         return None
 
     def request_budget(self, whole: str) -> None:
-        """No wholes are divided here; `fleet/settling.py` has those."""
+        """Fleet budgets are not modelled here; `fleet/settling.py` models them."""
 
     def wake(self, at: float) -> None:
-        self.armed += 1
-        self.clock.at(max(at, self.clock.now), self._woke, self.armed)
+        self.wake_generation += 1
+        self.clock.at(max(at, self.clock.now), self._wake_time_reached, self.wake_generation)
 
-    # What comes back.
+    # Events from the clock and the streamers.
 
-    def _woke(self, armed: int) -> None:
-        if self.up and armed == self.armed:
+    def _wake_time_reached(self, generation: int) -> None:
+        if self.running and generation == self.wake_generation:
             self.host.woke(self.clock.now)
 
     def _connected(self, viewing: Id, number: int) -> None:
-        out = self.outs.get((viewing, number))
-        if not self.up or out is None:
+        tune_in = self.pending.get((viewing, number))
+        if not self.running or tune_in is None:
             return
-        machine = self.model.machines[out.streamer]
-        if not machine.running or not self.host.sendable(viewing, number, self.clock.now):
+        streamer = self.model.streamers[tune_in.streamer]
+        if not streamer.running or not self.host.sendable(viewing, number, self.clock.now):
             self.ended(viewing, number, EndReason.UNREACHED)
             return
-        machine.post(self, out)
+        streamer.receive_tune_in(self, tune_in)
 
     def started(self, viewing: Id, number: int, streamer: str, session: Session, load: LoadReport) -> None:
-        if not self.up:
+        if not self.running:
             return
-        self.outs.pop((viewing, number), None)
-        self.plays[viewing, number] = session
+        self.pending.pop((viewing, number), None)
+        self.sessions[viewing, number] = session
         if self.host.started(self.clock.now, viewing, number, streamer, load):
-            self.follows.add(streamer)
+            self.followed_streamers.add(streamer)
 
-    def ended(self, viewing: Id, number: int, how: EndReason, load: LoadReport | None = None) -> None:
-        self.outs.pop((viewing, number), None)
-        if self.up:
-            self.host.ended(self.clock.now, viewing, number, how, load)
+    def ended(self, viewing: Id, number: int, reason: EndReason, load: LoadReport | None = None) -> None:
+        self.pending.pop((viewing, number), None)
+        if self.running:
+            self.host.ended(self.clock.now, viewing, number, reason, load)
 
     def torn_down(self, viewing: Id, number: int) -> None:
-        if self.up:
+        if self.running:
             self.host.torn_down(self.clock.now, viewing, number)
 
-    def told_share(self, streamer: str, share: float) -> None:
-        if self.up:
+    def share_reported(self, streamer: str, share: float) -> None:
+        if self.running:
             self.host.share_told(self.clock.now, streamer, share)
 
-    def told_load(self, streamer: str, load: LoadReport) -> None:
+    def load_reported(self, streamer: str, load: LoadReport) -> None:
         for uplink, ratio in ((False, load.link), (True, load.rack)):
-            if self.up:
+            if self.running:
                 self.host.load_told(self.clock.now, streamer, uplink, None, ratio)
 
-    def lost(self, streamer: str) -> None:
-        """A streamer's process is gone, and all that it played with it."""
-        if self.up:
-            self.follows.discard(streamer)
+    def streamer_lost(self, streamer: str) -> None:
+        """Ends all viewings of a streamer whose process has ended."""
+        if self.running:
+            self.followed_streamers.discard(streamer)
             for viewing, number in self.host.playing_at(streamer):
                 self.tear_down(viewing, number, streamer, False)
                 self.host.ended(self.clock.now, viewing, number, EndReason.BROKEN)
 
-    def _probed(self, streamer: str) -> None:
-        machine = self.model.machines[streamer]
-        fine = machine.running and not machine.muted(self)
-        if self.up:
+    def _probe_answered(self, streamer: str) -> None:
+        target = self.model.streamers[streamer]
+        reachable = target.running and not target.muted(self)
+        if self.running:
             how = (
-                EndReason.PLAYED if fine else EndReason.TIMED_OUT if machine.running else EndReason.UNREACHED
+                EndReason.PLAYED
+                if reachable
+                else EndReason.TIMED_OUT
+                if target.running
+                else EndReason.UNREACHED
             )
             self.host.probed(
-                self.clock.now, streamer, how, 2 * WAY, machine.machine.load_report() if fine else None
+                self.clock.now,
+                streamer,
+                how,
+                2 * STREAMER_DELAY_SECONDS,
+                target.machine.load_report() if reachable else None,
             )
 
 
-class Streamer:
-    """A machine and its faults, as its network shows them."""
+class SimulatedStreamer:
+    """A streamer process with its faults, as controllers and viewers see it over the network."""
 
     def __init__(self, model: "Model", name: str, zone: str, rack: Rack):
         self.model, self.name, self.clock = model, name, model.clock
-        self.machine = Machine(model.kind, name, zone, rack)
-        self.running, self.count, self.short = True, 0, False
+        self.machine = Machine(model.profile, name, zone, rack)
+        self.running, self.session_count, self.share_was_short = True, 0, False
         self.faults = self.machine.faults
-        self.waiting: dict[tuple[str, Id, int], Front] = {}
-        self.draw = random_stream(model.seed, "streamer", name)
-        self.notes_draw = random_stream(model.seed, "notes", name)
+        self.pending_set_ups: dict[tuple[str, Id, int], SimulatedController] = {}
+        self.random = random_stream(model.seed, "streamer", name)
+        self.notes_random = random_stream(model.seed, "notes", name)
         self.silent_since: float | None = None
-        self.tells = self.clock.now + self.draw.uniform(0, model.kind.tell)
-
-    def log(self, what: str, **details) -> None:
-        self.model.log(self.name, what, **details)
-
-    def muted(self, front: Front) -> bool:
-        """Whether nothing from here reaches that front."""
-        return self.machine.muted(front.name)
-
-    def post(self, front: Front, out: Out) -> None:
-        """A tune-in arrives."""
-        now, viewing, number = self.clock.now, out.ask.viewing, out.number
-        identity = self.model.identities[front.name, viewing]
-        self.log("post", identity=identity, front=front.name, title=out.ask.title, rung=out.rung,
-                 cold=self.machine.warmth(now) < 1)  # fmt: skip
-        most = self.machine.register_set_up(now)
-        if most is not None:
-            self.log("fell", set_ups=len(self.machine.set_ups), most=most)
-        self.waiting[front.name, viewing, number] = front
-        if self.muted(front):
+        self.next_load_report_at = self.clock.now + self.random.uniform(0, model.profile.tell)
+
+    def log(self, event: str, **details) -> None:
+        self.model.log(self.name, event, **details)
+
+    def muted(self, controller: SimulatedController) -> bool:
+        """Whether no message of this streamer reaches that controller."""
+        return self.machine.muted(controller.name)
+
+    def receive_tune_in(self, controller: SimulatedController, tune_in: PendingTuneIn) -> None:
+        """Handles the request of a tune-in."""
+        now, viewing, number = self.clock.now, tune_in.request.viewing, tune_in.number
+        identity = self.model.identities[controller.name, viewing]
+        self.log("post", identity=identity, front=controller.name, title=tune_in.request.title,
+                 rung=tune_in.rung, cold=self.machine.warmth(now) < 1)  # fmt: skip
+        allowed = self.machine.register_set_up(now)
+        if allowed is not None:
+            self.log("fell", set_ups=len(self.machine.set_ups), most=allowed)
+        self.pending_set_ups[controller.name, viewing, number] = controller
+        if self.muted(controller):
             return
-        delay = self.draw.uniform(*self.model.kind.set_up) + self.faults.get("slow", {}).get("by", 0.0)
-        self.clock.after(delay, self._set_up, front, out, identity, self.draw.random())
-
-    def _set_up(self, front: Front, out: Out, identity: str, chance: float) -> None:
-        viewing, number = out.ask.viewing, out.number
-        if self.waiting.pop((front.name, viewing, number), None) is None:
-            return  # hung up on, or its process has died
-        bad = self.faults.get("fail")
-        if self.machine.overloaded or (bad and chance < bad.get("part", 1.0)):
+        delay = self.random.uniform(*self.model.profile.set_up) + self.faults.get("slow", {}).get("by", 0.0)
+        self.clock.after(delay, self._set_up, controller, tune_in, identity, self.random.random())
+
+    def _set_up(
+        self, controller: SimulatedController, tune_in: PendingTuneIn, identity: str, failure_draw: float
+    ) -> None:
+        viewing, number = tune_in.request.viewing, tune_in.number
+        if self.pending_set_ups.pop((controller.name, viewing, number), None) is None:
+            return  # the controller cancelled it, or the streamer process has died
+        failure = self.faults.get("fail")
+        if self.machine.overloaded or (failure and failure_draw < failure.get("part", 1.0)):
             self.log("refused", identity=identity, status=500)
-            self.clock.after(WAY, front.ended, viewing, number, EndReason.FAULTY)
+            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, viewing, number, EndReason.FAULTY)
             return
         if self.machine.full():
             self.log("refused", identity=identity, status=503)
-            self.clock.after(WAY, front.ended, viewing, number, EndReason.FULL, self.machine.load_report())
+            self.clock.after(
+                STREAMER_DELAY_SECONDS,
+                controller.ended,
+                viewing,
+                number,
+                EndReason.FULL,
+                self.machine.load_report(),
+            )
             return
-        self.count += 1
-        name, now = f"{self.model.boots}-{self.count}", self.clock.now
-        session = Session(name, identity, out.ask.title, out.rung, front.name, now)
+        self.session_count += 1
+        name, now = f"{self.model.process_count}-{self.session_count}", self.clock.now
+        session = Session(name, identity, tune_in.request.title, tune_in.rung, controller.name, now)
         session.resource = viewing, number
         self.machine.start_session(self.clock.now, session)
-        self.log("started", identity=identity, session=session.name, front=front.name, title=out.ask.title,
-                 rung=out.rung)  # fmt: skip
-        self.clock.after(self.model.kind.join_wait, self._unjoined, session)
+        self.log("started", identity=identity, session=session.name, front=controller.name,
+                 title=tune_in.request.title, rung=tune_in.rung)  # fmt: skip
+        self.clock.after(self.model.profile.join_wait, self._end_if_not_joined, session)
         if "lose" in self.faults:
             self.log("unanswered", identity=identity, session=session.name)
-            self.clock.after(WAY, front.ended, viewing, number, EndReason.BROKEN)
+            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, viewing, number, EndReason.BROKEN)
             return
         load = self.machine.load_report()
-        self.clock.after(WAY, front.started, viewing, number, self.name, session, load)
+        self.clock.after(
+            STREAMER_DELAY_SECONDS, controller.started, viewing, number, self.name, session, load
+        )
 
-    def hung_up(self, front: Front, viewing: Id, number: int) -> None:
-        if self.waiting.pop((front.name, viewing, number), None):
-            self.log("hung-up", identity=self.model.identities[front.name, viewing])
+    def cancel_set_up(self, controller: SimulatedController, viewing: Id, number: int) -> None:
+        if self.pending_set_ups.pop((controller.name, viewing, number), None):
+            self.log("hung-up", identity=self.model.identities[controller.name, viewing])
 
-    def _unjoined(self, session: Session) -> None:
+    def _end_if_not_joined(self, session: Session) -> None:
         if session.consent is None:
-            self.end(session, "viewer-gone")
+            self.end_session(session, "viewer-gone")
 
-    def layer(self, front: Front, viewing: Id, number: int, rung: int) -> None:
-        session = front.plays.get((viewing, number))
-        if session and session.name in self.machine.sessions and self.running and not self.muted(front):
+    def change_rung(self, controller: SimulatedController, viewing: Id, number: int, rung: int) -> None:
+        session = controller.sessions.get((viewing, number))
+        if session and session.name in self.machine.sessions and self.running and not self.muted(controller):
             self.log("rung", identity=session.identity, session=session.name, rung=rung)
             self.machine.change_rung(self.clock.now, session, rung)
 
-    def delete(self, front: Front, viewing: Id, number: int, wanted: bool) -> None:
-        session = front.plays.pop((viewing, number), None)
-        if session and self.running and self.muted(front) and session.name in self.machine.sessions:
+    def delete_session(self, controller: SimulatedController, viewing: Id, number: int, wanted: bool) -> None:
+        session = controller.sessions.pop((viewing, number), None)
+        if session and self.running and self.muted(controller) and session.name in self.machine.sessions:
             self.log("let-go", identity=session.identity, session=session.name)
-        reached = self.running and not self.muted(front)
+        reached = self.running and not self.muted(controller)
         if session and reached and session.name in self.machine.sessions:
             self.log("delete", identity=session.identity, session=session.name)
-            self.end(session, "deleted", tell=False)
+            self.end_session(session, "deleted", notify=False)
         if wanted:
-            late = WAY if reached or not self.running else CLOSE
-            self.clock.after(late, front.torn_down, viewing, number)
+            delay = STREAMER_DELAY_SECONDS if reached or not self.running else TEARDOWN_TIMEOUT_SECONDS
+            self.clock.after(delay, controller.torn_down, viewing, number)
 
-    def end(self, session: Session, reason: str, tell: bool = True) -> None:
-        got = self.machine.end_session(self.clock.now, session)
-        if got is None:
+    def end_session(self, session: Session, reason: str, notify: bool = True) -> None:
+        totals = self.machine.end_session(self.clock.now, session)
+        if totals is None:
             return
-        told = dict(seconds=round(got[0], 2), earned=round(got[1], 3), joined=session.consent is not None)
-        self.log("ended", identity=session.identity, session=session.name, reason=reason, **told)
-        front = self.model.names.get(session.front)
-        if tell and front and not self.muted(front):
+        result = dict(
+            seconds=round(totals[0], 2), earned=round(totals[1], 3), joined=session.consent is not None
+        )
+        self.log("ended", identity=session.identity, session=session.name, reason=reason, **result)
+        controller = self.model.controllers_by_name.get(session.front)
+        if notify and controller and not self.muted(controller):
             how = EndReason.PLAYED if reason == "viewer-gone" else EndReason.BROKEN
-            self.clock.after(WAY, front.ended, *session.resource, how)
+            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, *session.resource, how)
 
-    # Its process, and its faults.
+    # Process state and faults.
 
-    def die(self) -> None:
+    def crash(self) -> None:
         if not self.running:
             return
         self.running = False
         self.log("down")
         for session in list(self.machine.sessions.values()):
-            self.end(session, "died", tell=False)
-        for (name, viewing, number), front in list(self.waiting.items()):
+            self.end_session(session, "died", notify=False)
+        for (name, viewing, number), controller in list(self.pending_set_ups.items()):
             self.log("hung-up", identity=self.model.identities[name, viewing])
-            self.clock.after(WAY, front.ended, viewing, number, EndReason.BROKEN)
-        self.waiting.clear()
-        for front in self.model.fronts.values():
-            if front and self.name in front.follows:
-                self.clock.after(STREAM_GONE_AFTER_SECONDS + WAY, self._gone, front)
-
-    def _gone(self, front: Front) -> None:
-        if self.name in front.follows:
-            front.lost(self.name)
-
-    def order(self, order: dict) -> None:
+            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, viewing, number, EndReason.BROKEN)
+        self.pending_set_ups.clear()
+        for controller in self.model.controllers.values():
+            if controller and self.name in controller.followed_streamers:
+                self.clock.after(
+                    STREAM_GONE_AFTER_SECONDS + STREAMER_DELAY_SECONDS, self._notify_lost, controller
+                )
+
+    def _notify_lost(self, controller: SimulatedController) -> None:
+        if self.name in controller.followed_streamers:
+            controller.streamer_lost(self.name)
+
+    def apply_command(self, command: dict) -> None:
         now = self.clock.now
-        if order["do"] == "die":
-            self.die()
-        self.machine.apply_command(now, order)
-        if order["do"] == "start" and not self.running:
+        if command["do"] == "die":
+            self.crash()
+        self.machine.apply_command(now, command)
+        if command["do"] == "start" and not self.running:
             self.running = True
-            # What followed the old process learns at its next try that this is a new one.
-            for front in self.model.fronts.values():
-                if front and self.name in front.follows:
-                    self.clock.after(2 * WAY, self._gone, front)
-        quiet = bool(self.faults.keys() & {"silent", "hang", "cut"})
-        if quiet and self.silent_since is None:
+            # Controllers that followed the old process detect the restart when they reconnect.
+            for controller in self.model.controllers.values():
+                if controller and self.name in controller.followed_streamers:
+                    self.clock.after(2 * STREAMER_DELAY_SECONDS, self._notify_lost, controller)
+        silent = bool(self.faults.keys() & {"silent", "hang", "cut"})
+        if silent and self.silent_since is None:
             self.silent_since = now
-            self.clock.after(SILENT_AFTER_SECONDS, self._silence, now)
-        elif not quiet:
+            self.clock.after(SILENT_AFTER_SECONDS, self._report_silence, now)
+        elif not silent:
             self.silent_since = None
 
-    def _silence(self, since: float) -> None:
-        """Fronts that follow a streamer without a word are told so each second, and lose it in the end."""
+    def _report_silence(self, since: float) -> None:
+        """Each second, reports a share of 0 to the controllers that no longer receive heartbeats of this
+        streamer, until they declare it lost.
+        """
         if self.silent_since != since or not self.running:
             return
-        quiet = self.clock.now - since
-        for front in list(self.model.fronts.values()):
-            if front and self.name in front.follows and self.muted(front):
-                if quiet >= LOST_AFTER_SECONDS:
-                    front.lost(self.name)
+        silent_seconds = self.clock.now - since
+        for controller in list(self.model.controllers.values()):
+            if controller and self.name in controller.followed_streamers and self.muted(controller):
+                if silent_seconds >= LOST_AFTER_SECONDS:
+                    controller.streamer_lost(self.name)
                 else:
-                    front.told_share(self.name, 0.0)
-        self.clock.after(1.0, self._silence, since)
+                    controller.share_reported(self.name, 0.0)
+        self.clock.after(1.0, self._report_silence, since)
 
-    def report(self) -> None:
-        """Each second: the share delivered while it is short, and once more after; loads every `tell`
-        seconds.
+    def send_reports(self) -> None:
+        """Runs each second. Reports the delivered share while it is below 0.98 and once after it has
+        recovered, and the load every `tell` seconds.
         """
-        now, kind = self.clock.now, self.model.kind
-        late = kind.told_late + self.faults.get("late", {}).get("by", 0.0)
-        share = self.machine.share_at(now - late)
-        tells = now >= self.tells
-        if tells:
-            self.tells = now + kind.tell
-        if self.running and (tells or share < 0.98 or self.short):
-            load = self.machine.load_report(now - late) if tells else None
+        now, profile = self.clock.now, self.model.profile
+        delay = profile.told_late + self.faults.get("late", {}).get("by", 0.0)
+        share = self.machine.share_at(now - delay)
+        load_due = now >= self.next_load_report_at
+        if load_due:
+            self.next_load_report_at = now + profile.tell
+        if self.running and (load_due or share < 0.98 or self.share_was_short):
+            load = self.machine.load_report(now - delay) if load_due else None
             for name in sorted({session.front for session in self.machine.sessions.values()}):
-                front = self.model.names.get(name)
-                if front and not self.muted(front):
-                    if (share < 0.98 or self.short) and self._arrives():
-                        self.clock.after(WAY, front.told_share, self.name, share)
-                    if load and self._arrives():
-                        self.clock.after(WAY, front.told_load, self.name, load)
-        self.short = share < 0.98
-
-    def _arrives(self) -> bool:
-        """Whether this one note does."""
+                controller = self.model.controllers_by_name.get(name)
+                if controller and not self.muted(controller):
+                    if (share < 0.98 or self.share_was_short) and self._report_delivered():
+                        self.clock.after(STREAMER_DELAY_SECONDS, controller.share_reported, self.name, share)
+                    if load and self._report_delivered():
+                        self.clock.after(STREAMER_DELAY_SECONDS, controller.load_reported, self.name, load)
+        self.share_was_short = share < 0.98
+
+    def _report_delivered(self) -> bool:
+        """Draws whether one report is delivered; the fault `notes_lost` drops a part of them."""
         lost = self.faults.get("notes_lost")
-        return lost is None or self.notes_draw.random() >= lost["part"]
+        return lost is None or self.notes_random.random() >= lost["part"]
 
 
-class Viewer:
-    """One viewer of the script, from its first request to its last second."""
+class SimulatedViewer:
+    """One viewer of the script, from its first request to the end of its last session."""
 
     def __init__(self, model: "Model", arrival: Arrival):
         self.model, self.arrival, self.clock = model, arrival, model.clock
-        self.draw = random_stream(model.seed, "viewer", arrival.name)
-        self.left, self.tries, self.turn = arrival.length, 0, 0
-        self.asked_at = self.began = 0.0
-        self.identity, self.front, self.viewing = "", None, None
-        self.stopped = False
+        self.random = random_stream(model.seed, "viewer", arrival.name)
+        self.remaining_seconds, self.attempts, self.offer_count = arrival.length, 0, 0
+        self.requested_at = self.playing_since = 0.0
+        self.identity, self.controller, self.viewing = "", None, None
+        self.hung_up = False
         model.log(arrival.name, "wants", package=arrival.package, title=arrival.title, seconds=arrival.length,
                   top=arrival.top)  # fmt: skip
 
-    def log(self, what: str, **details) -> None:
-        self.model.log(self.arrival.name, what, identity=self.identity, **details)
+    def log(self, event: str, **details) -> None:
+        self.model.log(self.arrival.name, event, identity=self.identity, **details)
 
-    def ask(self) -> None:
-        """A request, with a new offer, to a front of its own zone if one is up."""
-        if self.tries >= self.model.day.clients.tries:
+    def send_request(self) -> None:
+        """Sends a request with a new offer to a running controller, in the viewer's zone if there is one."""
+        if self.attempts >= self.model.day.clients.tries:
             return
-        self.tries += 1
-        front = self.model.choose(self.arrival.zone, self.draw)
-        if front is None:
-            self.clock.after(self.draw.uniform(*COME_AGAIN), self.ask)
+        self.attempts += 1
+        controller = self.model.choose_controller(self.arrival.zone, self.random)
+        if controller is None:
+            self.clock.after(self.random.uniform(*RETRY_DELAY_SECONDS), self.send_request)
             return
-        self.turn += 1
-        self.identity, self.front = f"{self.arrival.name}/{self.turn}", front
+        self.offer_count += 1
+        self.identity, self.controller = f"{self.arrival.name}/{self.offer_count}", controller
         terms = self.model.day.packages[self.arrival.package]
-        self.asked_at = self.clock.now
-        self.viewing = f"v{front.number}-{self.identity}"
-        self.log("asked", target="", patience=terms.patience, front=front.port)
-        self.model.identities[front.name, self.viewing] = self.identity
-        self.clock.after(CLIENT_MS, self._arrive, front, self.viewing, terms)
+        self.requested_at = self.clock.now
+        self.viewing = f"v{controller.number}-{self.identity}"
+        self.log("asked", target="", patience=terms.patience, front=controller.port)
+        self.model.identities[controller.name, self.viewing] = self.identity
+        self.clock.after(CLIENT_DELAY_SECONDS, self._request_arrives, controller, self.viewing, terms)
         if self.arrival.habit == "leaves":
-            self.clock.after(self.draw.uniform(0.001, 0.08), self._hang_up, front, self.viewing)
+            self.clock.after(self.random.uniform(0.001, 0.08), self._hang_up, controller, self.viewing)
 
-    def _arrive(self, front: Front, viewing: Id, terms) -> None:
-        if not front.up:
-            self._answer(0, "broken")
-            self._again(0.0)
+    def _request_arrives(self, controller: SimulatedController, viewing: Id, terms) -> None:
+        if not controller.running:
+            self._log_answer(0, "broken")
+            self._retry_later(0.0)
             return
-        package = next(p for p in front.site.charter.packages if p.name == self.arrival.package)
-        front.clients[viewing] = self
-        left = max(0.0, terms.patience - front.site.front.answer_ahead)
+        package = next(p for p in controller.site.charter.packages if p.name == self.arrival.package)
+        controller.clients[viewing] = self
+        time_left = max(0.0, terms.patience - controller.site.front.answer_ahead)
         holders = self.model.script.titles[self.arrival.title]
-        front.host.asked(
+        controller.host.asked(
             self.clock.now,
             ViewingRequest(viewing, self.identity, self.arrival.package, None, self.arrival.title,
-                           frozenset(holders), min(package.top, self.arrival.top), left, None, False, False),
+                           frozenset(holders), min(package.top, self.arrival.top), time_left, None,
+                           False, False),
         )  # fmt: skip
 
-    def _hang_up(self, front: Front, viewing: Id) -> None:
-        if self.viewing == viewing and not self.stopped and self.began == 0.0:
-            self.stopped = True
-            self._answer(0, "hung-up")
-            self.clock.after(front.site.front.linger, self._leave, front, viewing)
+    def _hang_up(self, controller: SimulatedController, viewing: Id) -> None:
+        if self.viewing == viewing and not self.hung_up and self.playing_since == 0.0:
+            self.hung_up = True
+            self._log_answer(0, "hung-up")
+            self.clock.after(controller.site.front.linger, self._report_departure, controller, viewing)
 
-    def _leave(self, front: Front, viewing: Id) -> None:
-        if front.up:
-            front.host.left(self.clock.now, viewing)
+    def _report_departure(self, controller: SimulatedController, viewing: Id) -> None:
+        if controller.running:
+            controller.host.left(self.clock.now, viewing)
 
-    def _answer(self, status: int, kind: str = "", location: str = "") -> None:
-        taken = round(self.clock.now - self.asked_at, 4)
-        told = dict(status=status, kind=kind, taken=taken, front=self.front.port, location=location)
-        self.log("answered", asked=self.asked_at, **told)
+    def _log_answer(self, status: int, kind: str = "", location: str = "") -> None:
+        taken = round(self.clock.now - self.requested_at, 4)
+        outcome = dict(status=status, kind=kind, taken=taken, front=self.controller.port, location=location)
+        self.log("answered", asked=self.requested_at, **outcome)
 
-    def answered(self, front: Front, viewing: Id, answer: Answer) -> None:
-        """The front's one answer arrives."""
-        if self.stopped or viewing != self.viewing:
+    def receive_answer(self, controller: SimulatedController, viewing: Id, answer: Answer) -> None:
+        """Handles the controller's answer to the request."""
+        if self.hung_up or viewing != self.viewing:
             return
         if answer.verdict == "plays":
-            self._answer(201, location=viewing)
-            self.began = self.clock.now
-            life = front.host.viewings.get(viewing)
-            session = front.plays.get((viewing, life.number)) if life else None
+            self._log_answer(201, location=viewing)
+            self.playing_since = self.clock.now
+            hosted = controller.host.viewings.get(viewing)
+            session = controller.sessions.get((viewing, hosted.number)) if hosted else None
             if session is None:
-                self._lost_now()  # it ended on the way
+                self._session_lost()  # the session ended while the answer was in flight
                 return
             session.consent = self.clock.now
-            self._play(session, self.clock.now)
+            self._renew_consent(session, self.clock.now)
         elif answer.verdict in ("blocked", "aborted"):
-            self._answer(503 if answer.verdict == "blocked" else 502, answer.verdict)
-            self._again(-(-answer.come_back // 1) if answer.come_back else 0.0)
+            self._log_answer(503 if answer.verdict == "blocked" else 502, answer.verdict)
+            self._retry_later(-(-answer.come_back // 1) if answer.come_back else 0.0)
 
-    def _play(self, session: Session, heard: float) -> None:
-        """Consent each second: it ends when its time is over, or when its streamer no longer answers."""
+    def _renew_consent(self, session: Session, last_answer_at: float) -> None:
+        """Renews consent each second. Deletes the session when its length is played, when the streamer no
+        longer answers, or when the viewer gives up.
+        """
         now = self.clock.now
-        machine = self.model.machines[self._streamer(session)]
-        here = machine.running and session.name in machine.machine.sessions
-        if here and not (machine.faults.keys() & {"silent", "hang"}):
-            heard = now
-        if now - self.began >= self.left - 1e-9:
-            self._delete(session)
-        elif now - heard > LOST_AFTER:
+        streamer = self.model.streamers[self._streamer_name(session)]
+        alive = streamer.running and session.name in streamer.machine.sessions
+        if alive and not (streamer.faults.keys() & {"silent", "hang"}):
+            last_answer_at = now
+        if now - self.playing_since >= self.remaining_seconds - 1e-9:
+            self._delete_session(session)
+        elif now - last_answer_at > VIEWER_TIMEOUT_SECONDS:
             self.log("lost")
-            self._delete(session)
-            self._lost_now()
-        elif here and now > self.began and self._gives_up(machine.machine):
+            self._delete_session(session)
+            self._session_lost()
+        elif alive and now > self.playing_since and self._gives_up(streamer.machine):
             self.log("gave-up")
-            self._delete(session)
+            self._delete_session(session)
         else:
-            self.clock.after(min(1.0, max(0.0, self.left - (now - self.began))), self._play, session, heard)
+            self.clock.after(
+                min(1.0, max(0.0, self.remaining_seconds - (now - self.playing_since))),
+                self._renew_consent,
+                session,
+                last_answer_at,
+            )
 
-    def _streamer(self, session: Session) -> str:
-        return self.model.where[session.name, session.front, session.identity]
+    def _streamer_name(self, session: Session) -> str:
+        return self.model.streamer_of_session[session.name, session.front, session.identity]
 
     def _gives_up(self, machine: Machine) -> bool:
-        """Under `leave_under` viewers leave at `leave_rate` a second times what is missing to it."""
-        kind = self.model.kind
-        missing = kind.leave_under - machine.share
-        return kind.leave_rate > 0 and missing > 0 and self.draw.random() < kind.leave_rate * missing
+        """Draws whether the viewer leaves: each second with probability `leave_rate` times the amount by
+        which the delivered share is below `leave_under`.
+        """
+        profile = self.model.profile
+        missing = profile.leave_under - machine.share
+        return profile.leave_rate > 0 and missing > 0 and self.random.random() < profile.leave_rate * missing
 
-    def _delete(self, session: Session) -> None:
+    def _delete_session(self, session: Session) -> None:
         self.log("deleting")
-        # A streamer that the teardown does not reach notices that nobody consents any more.
-        machine = self.model.machines[self._streamer(session)]
-        self.clock.after(self.model.kind.consent, machine.end, session, "viewer-gone")
-        self.clock.after(CLIENT_MS, self._leave, self.front, self.viewing)
+        # A streamer that the teardown does not reach ends the session when consent expires.
+        streamer = self.model.streamers[self._streamer_name(session)]
+        self.clock.after(self.model.profile.consent, streamer.end_session, session, "viewer-gone")
+        self.clock.after(CLIENT_DELAY_SECONDS, self._report_departure, self.controller, self.viewing)
 
-    def _lost_now(self) -> None:
-        self.left -= self.clock.now - self.began
-        self.began = 0.0
-        self._again(0.0)
+    def _session_lost(self) -> None:
+        self.remaining_seconds -= self.clock.now - self.playing_since
+        self.playing_since = 0.0
+        self._retry_later(0.0)
 
-    def _again(self, wait: float) -> None:
-        if self.left >= 0.5 and self.draw.random() < self.model.day.clients.returns:
-            self.clock.after(max(wait, self.draw.uniform(*COME_AGAIN)), self.ask)
+    def _retry_later(self, wait: float) -> None:
+        if self.remaining_seconds >= 0.5 and self.random.random() < self.model.day.clients.returns:
+            self.clock.after(max(wait, self.random.uniform(*RETRY_DELAY_SECONDS)), self.send_request)
 
 
 class Model:
-    """A day; `run` plays it and gives the lines.
+    """The simulation of one day; `run` returns its log entries.
 
-    `make` decides for every controller; `luck` gives their chance another seed, and changes nothing else.
+    `controller_type` is the deciding class of all controllers. `profile` overrides fields of the day's
+    MachineProfile. Without `keep_log` no log entries are collected. `luck` changes the seed of the
+    controllers' random draws and nothing else.
     """
 
     def __init__(
         self,
         day: Day,
         seed: int,
-        make: Callable = Controller,
-        kind: dict | None = None,
-        keep: bool = True,
+        controller_type: Callable = Controller,
+        profile: dict | None = None,
+        keep_log: bool = True,
         luck: int = 0,
     ):
-        self.day, self.seed, self.make, self.keep, self.luck = day, seed, make, keep, luck
+        self.day, self.seed, self.luck = day, seed, luck
+        self.controller_type, self.keep_log = controller_type, keep_log
         self.script: Script = days.script(day, seed)
-        self.kind = MachineProfile(**{**days.machine_profile_values(day), **(kind or {})})
-        self.clock, self.lines, self.boots = Clock(), [], 0
+        self.profile = MachineProfile(**{**days.machine_profile_values(day), **(profile or {})})
+        self.clock, self.lines, self.process_count = Clock(), [], 0
         self.identities: dict[tuple[str, Id], str] = {}
-        self.where: dict[tuple[str, str, str], str] = {}
-        self.names: dict[str, Front] = {}
-        self.fronts: dict[int, Front | None] = {}
+        self.streamer_of_session: dict[tuple[str, str, str], str] = {}
+        self.controllers_by_name: dict[str, SimulatedController] = {}
+        self.controllers: dict[int, SimulatedController | None] = {}
         racks: dict[str, Rack] = {}
-        self.machines: dict[str, Streamer] = {}
+        self.streamers: dict[str, SimulatedStreamer] = {}
         for i in range(day.settings.streamers):
-            rack = racks.setdefault(days.rack_of(i, day), Rack(self.kind.rack, self.kind.sharing))
-            self.machines[f"s{i}"] = Streamer(self, f"s{i}", days.zone_of(i, day), rack)
+            rack = racks.setdefault(days.rack_of(i, day), Rack(self.profile.rack, self.profile.sharing))
+            self.streamers[f"s{i}"] = SimulatedStreamer(self, f"s{i}", days.zone_of(i, day), rack)
         self.racks = racks
-        self.late = day.settings.list_late
-        self.listing = Listing(list(self.machines))
-        self.racked = {f"s{i}": days.rack_of(i, day) for i in range(day.settings.streamers)}
+        self.list_delay = day.settings.list_late
+        self.listing = Listing(list(self.streamers))
+        self.rack_names = {f"s{i}": days.rack_of(i, day) for i in range(day.settings.streamers)}
         self.killed: dict[int, float] = {}
         self.held_most = self.held_sum = self.ticks = 0
 
-    def log(self, who: str, what: str, **details) -> None:
-        if what == "started":
-            self.where[details["session"], details["front"], details["identity"]] = who
-        if self.keep:
-            self.lines.append((self.clock.now, who, what, details))
+    def log(self, source: str, event: str, **details) -> None:
+        if event == "started":
+            self.streamer_of_session[details["session"], details["front"], details["identity"]] = source
+        if self.keep_log:
+            self.lines.append((self.clock.now, source, event, details))
 
     def run(self) -> list[tuple[float, str, str, dict]]:
-        """Play the day to its end, and a little longer for those that are still there."""
+        """Simulates the day and 40 s more, in which the remaining viewers finish; returns the log entries."""
         for number in range(self.day.settings.controllers):
-            self._start_front(number)
+            self._start_controller(number)
         for arrival in self.script.arrivals:
-            self.clock.at(arrival.at, self._come, arrival)
-        for order in self.script.steps:
-            self.clock.at(order.at, self._carry_out, order)
-        self.clock.at(TICK, self._tick)
+            self.clock.at(arrival.at, self._viewer_arrives, arrival)
+        for step in self.script.steps:
+            self.clock.at(step.at, self._apply_step, step)
+        self.clock.at(TICK_SECONDS, self._tick)
         self.clock.run(self.day.settings.seconds + 40.0)
         self.log("stage", "stopping")
-        for machine in self.machines.values():
-            for session in list(machine.machine.sessions.values()):
-                machine.end(session, "deleted", tell=False)
+        for streamer in self.streamers.values():
+            for session in list(streamer.machine.sessions.values()):
+                streamer.end_session(session, "deleted", notify=False)
         return self.lines
 
-    def choose(self, zone: int, draw) -> Front | None:
-        up = [front for front in self.fronts.values() if front]
-        near = [front for front in up if front.number % self.day.settings.zones == zone] or up
-        return near[int(draw.integers(len(near)))] if near else None
+    def choose_controller(self, zone: int, random) -> SimulatedController | None:
+        running = [controller for controller in self.controllers.values() if controller]
+        same_zone = [
+            controller for controller in running if controller.number % self.day.settings.zones == zone
+        ] or running
+        return same_zone[int(random.integers(len(same_zone)))] if same_zone else None
 
-    def _come(self, arrival: Arrival) -> None:
-        Viewer(self, arrival).ask()
+    def _viewer_arrives(self, arrival: Arrival) -> None:
+        SimulatedViewer(self, arrival).send_request()
 
     def _tick(self) -> None:
         now = self.clock.now
@@ -539,94 +599,102 @@
             rack.allocate(now)
             rack.record_history(now)
         self.ticks += 1
-        if self.ticks % int(1 / TICK) == 0:
-            for machine in self.machines.values():
-                machine.report()
-        held = sum(len(m.machine.sessions) for m in self.machines.values())
+        if self.ticks % int(1 / TICK_SECONDS) == 0:
+            for streamer in self.streamers.values():
+                streamer.send_reports()
+        held = sum(len(m.machine.sessions) for m in self.streamers.values())
         self.held_most, self.held_sum = max(self.held_most, held), self.held_sum + held
-        self.clock.after(TICK, self._tick)
-
-    # Troubles, as the stage of a rehearsal carries them out.
-
-    def _carry_out(self, order: TroubleStep) -> None:
-        self.log("stage", order.target, **order.command)
-        if order.target == "farm":
-            for name in order.command["on"]:
-                self.log(name, "order", **{k: v for k, v in order.command.items() if k != "on"})
-                self.machines[name].order(order.command)
-        elif order.target == "etcd":
-            raise UnsupportedTroubleError("a trouble of etcd is for rehearsals: the model has no etcd")
-        elif order.target == "list_late":
-            self.late = order.command["by"]
-        elif order.target == "list":
-            self.clock.after(self.late, self._relist, order.command, self.clock.now)
-        elif order.command["do"] == "kill":
-            for number in order.command["on"]:
-                self._kill_front(number)
+        self.clock.after(TICK_SECONDS, self._tick)
+
+    # Steps of troubles, with the same effects as in a rehearsal.
+
+    def _apply_step(self, step: TroubleStep) -> None:
+        self.log("stage", step.target, **step.command)
+        if step.target == "farm":
+            for name in step.command["on"]:
+                self.log(name, "order", **{k: v for k, v in step.command.items() if k != "on"})
+                self.streamers[name].apply_command(step.command)
+        elif step.target == "etcd":
+            raise UnsupportedTroubleError("troubles of etcd need a rehearsal: the model has no etcd")
+        elif step.target == "list_late":
+            self.list_delay = step.command["by"]
+        elif step.target == "list":
+            self.clock.after(self.list_delay, self._apply_listing, step.command, self.clock.now)
+        elif step.command["do"] == "kill":
+            for number in step.command["on"]:
+                self._kill_controller(number)
         else:
-            for number in order.command["on"]:
-                self._start_front(number)
+            for number in step.command["on"]:
+                self._start_controller(number)
 
-    def _relist(self, what: dict, at: float) -> None:
-        self.listing.apply(what, at)
+    def _apply_listing(self, command: dict, at: float) -> None:
+        self.listing.apply(command, at)
         self.log("stage", "listed", gone=self.listing.unavailable())
-        for front in self.fronts.values():
-            if front:
-                self.clock.after(LIST_POLL_SECONDS / 2, self._list_to, front)
+        for controller in self.controllers.values():
+            if controller:
+                self.clock.after(LIST_POLL_SECONDS / 2, self._send_list, controller)
 
-    def _line(self, shown: tuple[str, str, float | None]) -> StreamerEntry:
-        name, standing, started = shown
-        zone, rack = self.machines[name].machine.zone, self.racked[name]
+    def _streamer_entry(self, entry: tuple[str, str, float | None]) -> StreamerEntry:
+        name, status, started = entry
+        zone, rack = self.streamers[name].machine.zone, self.rack_names[name]
         return StreamerEntry(
-            name, zone, "std", name, name, rack, StreamerStatus[standing.upper()], 1.0, started
+            name, zone, "std", name, name, rack, StreamerStatus[status.upper()], 1.0, started
         )
 
-    def _list_to(self, front: Front) -> None:
-        if front.up:
-            front.host.listed(self.clock.now, "whole", tuple(map(self._line, self.listing.visible())))
+    def _send_list(self, controller: SimulatedController) -> None:
+        if controller.running:
+            controller.host.listed(
+                self.clock.now, "whole", tuple(map(self._streamer_entry, self.listing.visible()))
+            )
 
-    def _kill_front(self, number: int) -> None:
-        front = self.fronts[number]
+    def _kill_controller(self, number: int) -> None:
+        controller = self.controllers[number]
         self.log("stage", "killed", front=number)
-        self.fronts[number], front.up = None, False
+        self.controllers[number], controller.running = None, False
         if self.day.settings.counted == "live":
             self.killed[number] = self.clock.now
-            self.clock.after(self.day.settings.ttl, self._recount)
-        for client in list(front.clients.values()):
-            if not client.stopped and client.began == 0.0:
-                client._answer(0, "broken")
-                client._again(0.0)
-        self.clock.after(FRONT_GONE, self._front_gone, front)
-        for (viewing, number_), out in list(front.outs.items()):
-            self.machines[out.streamer].hung_up(front, viewing, number_)
-
-    def _recount(self) -> None:
-        """Controllers know each other through leases: the dead count until theirs have run out."""
+            self.clock.after(self.day.settings.ttl, self._send_controller_counts)
+        for client in list(controller.clients.values()):
+            if not client.hung_up and client.playing_since == 0.0:
+                client._log_answer(0, "broken")
+                client._retry_later(0.0)
+        self.clock.after(CONTROLLER_GONE_SECONDS, self._controller_gone, controller)
+        for (viewing, number_), tune_in in list(controller.pending.items()):
+            self.streamers[tune_in.streamer].cancel_set_up(controller, viewing, number_)
+
+    def _send_controller_counts(self) -> None:
+        """Sends each controller its rank and the number of controllers with a lease. The lease of a killed
+        controller lasts for its TTL.
+        """
         now, ttl = self.clock.now, self.day.settings.ttl
-        live = [n for n, up in self.fronts.items() if up or now < self.killed.get(n, -1e9) + ttl]
+        live = [
+            n
+            for n, controller in self.controllers.items()
+            if controller or now < self.killed.get(n, -1e9) + ttl
+        ]
         for rank, number in enumerate(sorted(live)):
-            front = self.fronts[number]
-            if front:
-                settled = now >= front.began + SETTLE_SECONDS
-                front.host.counted(now, rank if settled else None, len(live))
-
-    def _front_gone(self, front: Front) -> None:
-        self.names.pop(front.name, None)
-        for machine in self.machines.values():
-            if machine.running and not machine.muted(front):
-                for session in [s for s in machine.machine.sessions.values() if s.front == front.name]:
-                    machine.end(session, "front-gone", tell=False)
-
-    def _start_front(self, number: int) -> None:
+            controller = self.controllers[number]
+            if controller:
+                settled = now >= controller.started_at + SETTLE_SECONDS
+                controller.host.counted(now, rank if settled else None, len(live))
+
+    def _controller_gone(self, controller: SimulatedController) -> None:
+        self.controllers_by_name.pop(controller.name, None)
+        for streamer in self.streamers.values():
+            if streamer.running and not streamer.muted(controller):
+                for session in [s for s in streamer.machine.sessions.values() if s.front == controller.name]:
+                    streamer.end_session(session, "front-gone", notify=False)
+
+    def _start_controller(self, number: int) -> None:
         site = _site(self.day, number, self.seed)
-        chance = self.seed * 1000 + number + self.luck * 7919 * 1000
-        front = Front(self, number, site, chance, self.make)
-        self.fronts[number] = self.names[front.name] = front
-        self.log("stage", "front", number=number, address=["", front.port])
-        self._list_to(front)
+        controller_seed = self.seed * 1000 + number + self.luck * 7919 * 1000
+        controller = SimulatedController(self, number, site, controller_seed, self.controller_type)
+        self.controllers[number] = self.controllers_by_name[controller.name] = controller
+        self.log("stage", "front", number=number, address=["", controller.port])
+        self._send_list(controller)
         if self.day.settings.counted == "live":
-            self._recount()
-            self.clock.after(SETTLE_SECONDS, self._recount)
+            self._send_controller_counts()
+            self.clock.after(SETTLE_SECONDS, self._send_controller_counts)
 
 
 def _site(day: Day, number: int, seed: int) -> Site:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
 from herongap.fleet.fit import best_distribution, fit_record, fit_zipf
 from herongap.fleet.links import max_min_rates, proportional_share
 from herongap.fleet.machine import Machine, MachineProfile, Rack, Session
-from herongap.fleet.model import Model, Viewer
+from herongap.fleet.model import Model, SimulatedViewer
 from herongap.fleet.store import Store
 from herongap.host import Recorder
 from herongap.ini import Faults, parse_site
@@ -156,10 +156,12 @@
 
 def test_viewers_give_up_as_the_formula_says(bad, monkeypatch):
     day = bad._replace(troubles={}, clients=bad.clients.model_copy(update={"repeats": 0.0, "leaves": 0.0}))
-    looks, once = [], Viewer._gives_up
-    monkeypatch.setattr(Viewer, "_gives_up", lambda self, m: looks.append(once(self, m)) or looks[-1])
+    looks, once = [], SimulatedViewer._gives_up
+    monkeypatch.setattr(
+        SimulatedViewer, "_gives_up", lambda self, m: looks.append(once(self, m)) or looks[-1]
+    )
     for rate, part in ((0.0, 0.0), (0.3, 0.3)):
-        model = Model(day, 1, kind={"leave_rate": rate, "leave_under": 2.0, "link": 1e6, "rack": 1e6})
+        model = Model(day, 1, profile={"leave_rate": rate, "leave_under": 2.0, "link": 1e6, "rack": 1e6})
         looks.clear()
         model.run()
         gone = sum(what == "gave-up" for _, _, what, _ in model.lines)
@@ -172,7 +174,7 @@
     made = parse_site(controller_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
     model = Model(bad, 7)
     model.run()
-    assert model.fronts[1].site.charter == made.charter and made.charter.me == 1
+    assert model.controllers[1].site.charter == made.charter and made.charter.me == 1
 
 
 def experiment(tmp_path, least=2, most=4, half=0.5, b="policy = random", text=None):
@@ -279,14 +281,14 @@
     def recorded(number):
         start(number)
         if number == 0:
-            front = model.fronts[0]
+            front = model.controllers[0]
             front.host.recorder = Recorder(lines.append)
             front.host.recorder.start(0.0, 1, front.site.charter)
 
     size = bad.settings.model_copy(update={"seconds": 60.0, "controllers": 1})
     alone = bad.clients.model_copy(update={"returns": 0.0})
     model = Model(bad._replace(troubles={}, settings=size, clients=alone), 4)
-    start, model._start_front = model._start_front, recorded
+    start, model._start_controller = model._start_controller, recorded
     model.run()
     found = fit_record(lines[:-1] + [lines[-1][:10]])  # cut in the middle of a line
     assert found.rate == pytest.approx(25, rel=0.15) and found.titles == 6
@@ -311,8 +313,8 @@
         (tmp_path / "day.ini").write_text(text % share)
         model = Model(read_day(tmp_path / "day.ini"), 2)
         told[share] = []
-        for machine in model.machines.values():
-            machine._arrives = lambda there=machine._arrives, notes=told[share]: (
+        for machine in model.streamers.values():
+            machine._report_delivered = lambda there=machine._report_delivered, notes=told[share]: (
                 notes.append(there()) or notes[-1]
             )
         model.run()
