--- a/herongap/fleet/checker.py
+++ b/herongap/fleet/checker.py
@@ -1,6 +1,6 @@
-"""The six rules, judged from what stand-in streamers and clients saw on their sockets. Nothing else is read.
+"""Checks the six rules, from what stand-in streamers and clients observed on their sockets alone.
 
-Each of `check`'s rules is a function from the run to the breaks found, so that each can be proved on its own.
+Each rule is a function from the observed run to the violations found, so that each can be tested on its own.
 """
 
 from collections import defaultdict
@@ -18,98 +18,130 @@
     Violation,
 )
 
-GRACE = 0.25  # seconds after a drain was told within which work may still arrive
-TWICE = 3.0  # seconds within which a late session must have been torn down
+# Time after the notification of a drain within which tune-ins may still arrive.
+DRAIN_GRACE_SECONDS = 0.25
+# Time within which the earlier of two sessions of a viewing must have been torn down.
+DUPLICATE_TEARDOWN_SECONDS = 3.0
 
 
 def check(outcome: Outcome) -> list[Violation]:
-    """All breaks of a rehearsal, in the order of their rules and times."""
+    """All violations in a played day, in the order of rules and times."""
     return check_run(ObservedRun(outcome))
 
 
 def check_run(run: ObservedRun) -> list[Violation]:
-    """The same, of logs that have been put together already."""
+    """The same as `check`, for logs that have been grouped already."""
     rules = [answers, set_ups, drains, cold, floors, seats, budget, check_budgets]
-    found = [b for rule in rules for b in rule(run)]
-    return sorted(found, key=lambda b: (b.rule, b.at))
+    violations = [violation for rule in rules for violation in rule(run)]
+    return sorted(violations, key=lambda violation: (violation.rule, violation.at))
 
 
 def answers(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 1: what a running controller took gets exactly one answer, before the viewer gives up."""
+    """Rule 1: a request that a running controller accepted gets one answer before the viewer gives up."""
     by_offer: dict[tuple, list[ObservedRequest]] = defaultdict(list)
-    for post in run.posts:
-        killed = run.killed.get(post.front, float("inf"))
-        if post.status == 0:
+    for request in run.requests:
+        killed = run.killed_at.get(request.controller_port, float("inf"))
+        if request.status == 0:
             if (
-                post.kind == "hung-up"
-                or killed <= post.answered + CLOCK_SLACK_SECONDS
-                or post.answered >= run.stopping
+                request.kind == "hung-up"
+                or killed <= request.answered_at + CLOCK_SLACK_SECONDS
+                or request.answered_at >= run.stopping_at
             ):
-                continue  # its viewer left, or its controller was killed: it owes no answer
-            if run.left.get(post.front, float("inf")) <= post.answered and post.kind.startswith("broken"):
-                continue  # never taken: its controller had closed its door
-            if run.stopped(run.fronts.get(post.front, -1), post.asked, post.answered):
-                continue  # a process that is stopped cannot answer
-            yield run.broken(1, post.answered, f"{post.name}: no answer ({post.kind})", post.identity)
+                continue  # the viewer left or the controller was killed: no answer is due
+            if run.left_at.get(
+                request.controller_port, float("inf")
+            ) <= request.answered_at and request.kind.startswith("broken"):
+                continue  # never accepted: the controller had stopped listening
+            if run.paused_seconds(
+                run.controllers.get(request.controller_port, -1), request.requested_at, request.answered_at
+            ):
+                continue  # a paused process cannot answer
+            yield run.violation(
+                1, request.answered_at, f"{request.name}: no answer ({request.kind})", request.identity
+            )
             continue
-        if post.status in (400, 404, 500):
-            yield run.broken(
-                1, post.answered, f"{post.name}: answered {post.status} {post.kind}", post.identity
+        if request.status in (400, 404, 500):
+            yield run.violation(
+                1,
+                request.answered_at,
+                f"{request.name}: answered {request.status} {request.kind}",
+                request.identity,
+            )
+        if request.status == 201 and not run.sessions[request.identity]:
+            yield run.violation(
+                1,
+                request.answered_at,
+                f"{request.name}: answered 201, but no streamer has a session",
+                request.identity,
             )
-        if post.status == 201 and not run.sessions[post.identity]:
-            yield run.broken(1, post.answered, f"{post.name}: told it plays, no streamer does", post.identity)
-        by_offer[post.front, post.identity].append(post)
-    for (_, identity), posts in by_offer.items():
-        plays = {post.location for post in posts if post.status == 201}
-        if len(plays) > 1:
-            yield run.broken(1, posts[-1].answered, f"{posts[0].name}: one offer, two sessions", identity)
-        for post in posts:
-            # One that the process never took, being short itself, is no answer to the viewing.
-            others = [o for o in posts if o.asked < post.answered and post.asked < o.answered]
+        by_offer[request.controller_port, request.identity].append(request)
+    for (_, identity), requests in by_offer.items():
+        locations = {request.location for request in requests if request.status == 201}
+        if len(locations) > 1:
+            yield run.violation(
+                1, requests[-1].answered_at, f"{requests[0].name}: one offer, two sessions", identity
+            )
+        for request in requests:
+            # A rejection by an overloaded or stopping process is not an answer to the viewing.
+            others = [
+                o
+                for o in requests
+                if o.requested_at < request.answered_at and request.requested_at < o.answered_at
+            ]
             others = [o for o in others if o.kind not in ("overloaded", "too-fast", "stopping")]
             if len({o.status for o in others}) > 1:
-                yield run.broken(1, post.answered, f"{post.name}: one viewing, two answers", identity)
+                yield run.violation(
+                    1, request.answered_at, f"{request.name}: one viewing, two answers", identity
+                )
                 break
 
 
 def set_ups(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 2: never two tune-ins out, nothing set up twice; what may not be repeated is not."""
-    for identity, outs in run.outs.items():
-        outs = sorted(outs, key=lambda out: out.begin)
-        for before, after in zip(outs, outs[1:], strict=False):
+    """Rule 2: one tune-in in flight and one session for each viewing; no retry that its package forbids."""
+    for identity, tune_ins in run.tune_ins.items():
+        tune_ins = sorted(tune_ins, key=lambda tune_in: tune_in.begin)
+        for before, after in zip(tune_ins, tune_ins[1:], strict=False):
             if after.begin < before.end - CLOCK_SLACK_SECONDS:
-                what = f"two tune-ins out, at {before.streamer} and {after.streamer}"
-                yield run.broken(2, after.begin, what, identity)
-        # A session whose answer was lost on its way cannot be known of; whether it may be set up again is for
-        # the package's terms, below.
-        held = sorted((s for s in run.sessions[identity] if s.told), key=lambda s: s.begin)
-        for before, after in zip(held, held[1:], strict=False):
-            late = after.begin + TWICE
-            late += run.stopped(_number(before.front), after.begin, late)
-            if min(before.end, run.stopping) > late and not _mute(run, before):
+                what = f"two tune-ins in flight, at {before.streamer} and {after.streamer}"
+                yield run.violation(2, after.begin, what, identity)
+        # A controller cannot know of a session whose answer was lost. Whether the viewing may be set up again
+        # depends on the package's terms, see `_repeats`.
+        sessions = sorted((s for s in run.sessions[identity] if s.reported), key=lambda s: s.begin)
+        for before, after in zip(sessions, sessions[1:], strict=False):
+            deadline = after.begin + DUPLICATE_TEARDOWN_SECONDS
+            deadline += run.paused_seconds(_controller_number(before.controller), after.begin, deadline)
+            if min(before.end, run.stopping_at) > deadline and not _silenced(run, before):
                 what = f"plays twice, at {before.streamer} and {after.streamer}"
-                yield run.broken(2, after.begin, what, identity)
-        terms = run.day.packages.get(run.package.get(identity, ""))
+                yield run.violation(2, after.begin, what, identity)
+        terms = run.day.packages.get(run.package_of.get(identity, ""))
         if terms and terms.repeat != "harmless":
-            yield from _repeats(run, identity, terms, outs)
+            yield from _repeats(run, identity, terms, tune_ins)
 
 
-def _repeats(run: ObservedRun, identity: str, terms, outs: list[ObservedTuneIn]) -> Iterator[Violation]:
-    # Refused as full or unknown: it provably never ran. Anything else may have.
-    ran = [out for out in outs if not (out.how == "refused" and out.status in (404, 422, 503))]
+def _repeats(run: ObservedRun, identity: str, terms, tune_ins: list[ObservedTuneIn]) -> Iterator[Violation]:
+    """Violations of the terms for repeated set-ups of one viewing."""
+    # A tune-in rejected as full or unknown certainly set nothing up; any other may have.
+    ran = [
+        tune_in
+        for tune_in in tune_ins
+        if not (tune_in.outcome == "refused" and tune_in.status in (404, 422, 503))
+    ]
     for earlier in ran:
-        for later in outs:
+        for later in tune_ins:
             if later.begin > earlier.begin and not _recognised(run, terms, earlier, later):
                 what = f"sent again to {later.streamer} though {earlier.streamer} may have set it up"
-                yield run.broken(2, later.begin, what, identity)
-    for post in run.posts:
+                yield run.violation(2, later.begin, what, identity)
+    for request in run.requests:
         over_all = terms.repeat == "in_group" and terms.group == "all"
-        came_after = [out for out in ran if out.begin < post.answered]
-        if post.identity == identity and post.kind == "blocked" and not over_all and came_after:
-            yield run.broken(2, post.answered, f"{post.name}: told to come again though it may run", identity)
+        came_after = [tune_in for tune_in in ran if tune_in.begin < request.answered_at]
+        if request.identity == identity and request.kind == "blocked" and not over_all and came_after:
+            yield run.violation(
+                2, request.answered_at, f"{request.name}: told to retry though a session may exist", identity
+            )
 
 
 def _recognised(run: ObservedRun, terms, earlier: ObservedTuneIn, later: ObservedTuneIn) -> bool:
+    """Whether the terms say that the later streamer detects the tune-in as a repetition."""
     if terms.repeat == "harmful" or later.begin - earlier.begin > terms.repeat_window:
         return False
     if terms.group == "all":
@@ -120,133 +152,146 @@
 
 
 def drains(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 3: nothing new to a streamer later than the grace after it was listed as draining or gone."""
+    """Rule 3: no tune-in to a streamer after the grace period since it was listed as draining or gone."""
     if run.listed_by == "etcd":
-        yield from _drains_told(run)
+        yield from _drains_notified(run)
         return
     since: dict[str, float] = {}
-    changes = iter([*run.gone, (float("inf"), set())])
-    at, gone = next(changes)
-    for identity, out in sorted(
-        ((i, o) for i, outs in run.outs.items() for o in outs), key=lambda pair: pair[1].begin
+    changes = iter([*run.unavailable, (float("inf"), set())])
+    at, drained = next(changes)
+    for identity, tune_in in sorted(
+        ((i, o) for i, tune_ins in run.tune_ins.items() for o in tune_ins), key=lambda pair: pair[1].begin
     ):
-        while at <= out.begin:
-            since = {name: since.get(name, at) for name in gone}
-            at, gone = next(changes)
-        told = since.get(out.streamer)
-        if told is not None and out.begin > told + LIST_POLL_SECONDS + GRACE + CLOCK_SLACK_SECONDS:
-            what = f"sent to {out.streamer}, listed as leaving or gone {out.begin - told:.3f} s before"
-            yield run.broken(3, out.begin, what, identity)
-
-
-def _drains_told(run: ObservedRun) -> Iterator[Violation]:
-    """Where the list is watched, the grace begins when the bytes that tell a front of it are sent to it."""
-    outs = [(o.begin, 1, i, o) for i, outs in run.outs.items() for o in outs]
-    words = [(at, 0, "", (None, streamer, gone)) for at, streamer, gone in run.drained]
-    words += [(at, 0, "", (front, streamer, gone)) for at, front, streamer, gone in run.told]
+        while at <= tune_in.begin:
+            since = {name: since.get(name, at) for name in drained}
+            at, drained = next(changes)
+        notified_at = since.get(tune_in.streamer)
+        if (
+            notified_at is not None
+            and tune_in.begin > notified_at + LIST_POLL_SECONDS + DRAIN_GRACE_SECONDS + CLOCK_SLACK_SECONDS
+        ):
+            seconds = tune_in.begin - notified_at
+            what = f"sent to {tune_in.streamer}, listed as draining or gone {seconds:.3f} s before"
+            yield run.violation(3, tune_in.begin, what, identity)
+
+
+def _drains_notified(run: ObservedRun) -> Iterator[Violation]:
+    """With a watched list, the grace period begins when the notification is sent to the controller."""
+    tune_ins = [(o.begin, 1, i, o) for i, tune_ins in run.tune_ins.items() for o in tune_ins]
+    notices = [(at, 0, "", (None, streamer, drained)) for at, streamer, drained in run.drained]
+    notices += [
+        (at, 0, "", (controller, streamer, drained))
+        for at, controller, streamer, drained in run.drain_notifications
+    ]
     since: dict[tuple[str, str], float] = {}
-    held: dict[str, set] = defaultdict(set)  # what stands against a streamer in truth
-    for at, kind, identity, it in sorted(outs + words, key=lambda line: line[:3]):
+    active: dict[str, set] = defaultdict(set)  # by streamer: drains and absences in effect
+    for at, kind, identity, item in sorted(tune_ins + notices, key=lambda line: line[:3]):
         if kind == 0:
-            front, streamer, gone = it
-            if front is not None and gone and held[streamer]:
-                since.setdefault((front, streamer), at)
-            elif front is None and gone:
-                held[streamer].add(at)
-            elif front is None:
-                # Its drain, or its absence, has ended: what anybody was told before binds nobody any more.
-                held[streamer].clear()
-                since = {key: told for key, told in since.items() if key[1] != streamer}
+            controller, streamer, drained = item
+            if controller is not None and drained and active[streamer]:
+                since.setdefault((controller, streamer), at)
+            elif controller is None and drained:
+                active[streamer].add(at)
+            elif controller is None:
+                # The drain or the absence has ended; earlier notifications no longer apply.
+                active[streamer].clear()
+                since = {key: notified_at for key, notified_at in since.items() if key[1] != streamer}
             continue
-        told = since.get((it.front, it.streamer))
+        notified_at = since.get((item.controller, item.streamer))
         if (
-            told is not None
-            and at - run.stopped(_number(it.front), told, at) > told + GRACE + CLOCK_SLACK_SECONDS
+            notified_at is not None
+            and at - run.paused_seconds(_controller_number(item.controller), notified_at, at)
+            > notified_at + DRAIN_GRACE_SECONDS + CLOCK_SLACK_SECONDS
         ):
-            what = (
-                f"sent to {it.streamer} {at - told:.3f} s after its front was told that it leaves or is gone"
-            )
-            yield run.broken(3, at, what, identity)
+            seconds = at - notified_at
+            what = f"sent to {item.streamer} {seconds:.3f} s after a notice that it is draining or gone"
+            yield run.violation(3, at, what, identity)
 
 
 def cold(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 4: no streamer that has just started is pushed over."""
-    for at, streamer, d in run.fell:
-        yield run.broken(4, at, f"{streamer} fell over at {d['set_ups']} set-ups, {d['most']:.1f} allowed")
+    """Rule 4: no streamer that is warming up is overloaded by set-ups."""
+    for at, streamer, details in run.overloads:
+        yield run.violation(
+            4, at, f"{streamer} overloaded by {details['set_ups']} set-ups, {details['most']:.1f} allowed"
+        )
 
 
 def floors(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 5, first half: nothing plays under its package's floor."""
+    """Rule 5, first half: nothing plays below the floor of its package."""
     for identity, rungs in run.rungs.items():
-        terms = run.day.packages.get(run.package.get(identity, ""))
+        terms = run.day.packages.get(run.package_of.get(identity, ""))
         for at, streamer, rung in rungs:
             if terms and rung < terms.floor:
-                yield run.broken(5, at, f"rung {rung} at {streamer}, under the floor {terms.floor}", identity)
+                yield run.violation(
+                    5, at, f"rung {rung} at {streamer}, below the floor {terms.floor}", identity
+                )
 
 
 def seats(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 5, second half: no controller holds more viewings of a title and package than its seats.
+    """Rule 5, second half: no controller has more viewings of a title and package than the package has seats.
 
-    A seat is taken from the POST at the streamer until that is answered otherwise, hung up on, or its
-    session ends; or until a DELETE of it arrives, whether or not the streamer can still answer that.
+    A viewing takes a seat from its POST at the streamer until that is rejected or cancelled, or its session
+    ends, or a DELETE of the session arrives, whether or not the streamer can still answer that.
     """
     steps: dict[tuple, list[tuple[float, int, str]]] = defaultdict(list)
-    for identity, outs in run.outs.items():
-        package = run.package.get(identity, "")
+    for identity, tune_ins in run.tune_ins.items():
+        package = run.package_of.get(identity, "")
         if package not in run.day.packages or not run.day.packages[package].seats:
             continue
-        for out in outs:
-            held = next((s for s in run.sessions[identity] if s.out is out), None)
-            end = out.end
-            # Where the answer was lost on its way, the tune-in ended for its controller when that broke.
-            if held and held.told:
-                end = min(held.end, held.let_go)
-            steps[out.front, out.title, package] += [
-                (out.begin, 1, identity),
-                (max(end - CLOCK_SLACK_SECONDS, out.begin + 1e-6), -1, identity),
+        for tune_in in tune_ins:
+            session = next((s for s in run.sessions[identity] if s.tune_in is tune_in), None)
+            end = tune_in.end
+            # If the answer was lost, the tune-in ended for its controller when the connection broke.
+            if session and session.reported:
+                end = min(session.end, session.released_at)
+            steps[tune_in.controller, tune_in.title, package] += [
+                (tune_in.begin, 1, identity),
+                (max(end - CLOCK_SLACK_SECONDS, tune_in.begin + 1e-6), -1, identity),
             ]
-    for (front, title, package), changes in steps.items():
-        most, now = run.day.packages[package].seats, 0
+    for (controller, title, package), changes in steps.items():
+        allowed, now = run.day.packages[package].seats, 0
         for at, change, identity in sorted(changes):
             now += change
-            if change > 0 and now > most:
-                what = f"{front} holds {now} of title {title}, {package} has {most} seats"
-                yield run.broken(5, at, what, identity)
+            if change > 0 and now > allowed:
+                what = f"{controller} has {now} viewings of title {title}, {package} has {allowed} seats"
+                yield run.violation(5, at, what, identity)
 
 
 def budget(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 6: further tune-ins of a controller stay within a few and a share of the viewings that it took."""
-    size = run.day.settings
-    extras: dict[str, list[tuple[float, str]]] = defaultdict(list)
-    taken: dict[str, list[float]] = defaultdict(list)
-    for identity, outs in run.outs.items():
-        for front in {out.front for out in outs}:
-            begins = sorted(out.begin for out in outs if out.front == front)
-            extras[front] += [(at, identity) for at in begins[1:]]
-    for post in run.posts:
-        if post.front in run.fronts:
-            taken[run.fronts[post.front]].append(post.asked)
-    for front, sent in extras.items():
+    """Rule 6: the repeated tune-ins of a controller stay within `extra_free` plus a share of its viewings."""
+    settings = run.day.settings
+    repeats: dict[str, list[tuple[float, str]]] = defaultdict(list)
+    accepted: dict[str, list[float]] = defaultdict(list)
+    for identity, tune_ins in run.tune_ins.items():
+        for controller in {tune_in.controller for tune_in in tune_ins}:
+            begins = sorted(tune_in.begin for tune_in in tune_ins if tune_in.controller == controller)
+            repeats[controller] += [(at, identity) for at in begins[1:]]
+    for request in run.requests:
+        if request.controller_port in run.controllers:
+            accepted[run.controllers[request.controller_port]].append(request.requested_at)
+    for controller, sent in repeats.items():
         sent.sort()
-        asked = sorted(taken[_number(front)])
+        accepted_at = sorted(accepted[_controller_number(controller)])
         for i, (at, identity) in enumerate(sent):
-            # A front sees both a little earlier or later than the sockets' other ends.
-            seconds = size.extra_window / run.fast[_number(front)]
+            # A controller sees both a little earlier or later than the other ends of its sockets.
+            seconds = settings.extra_window / run.clock_rates[_controller_number(controller)]
             window = sum(1 for t, _ in sent[: i + 1] if t > at - seconds + CLOCK_SLACK_SECONDS)
-            took = sum(
+            accepted_count = sum(
                 1
-                for t in asked
-                if at - size.extra_window - CLOCK_SLACK_SECONDS < t <= at + CLOCK_SLACK_SECONDS
+                for t in accepted_at
+                if at - settings.extra_window - CLOCK_SLACK_SECONDS < t <= at + CLOCK_SLACK_SECONDS
             )
-            if window > size.extra_free + size.extra_share * took:
-                what = f"{front}: {window} further tune-ins in {size.extra_window:g} s, having taken {took}"
-                yield run.broken(6, at, what, identity)
+            if window > settings.extra_free + settings.extra_share * accepted_count:
+                what = f"{controller}: {window} repeated tune-ins in {settings.extra_window:g} s, "
+                what += f"{accepted_count} requests accepted"
+                yield run.violation(6, at, what, identity)
 
 
-def _number(front: str) -> int:
-    """The number of the controller that a front's name tells."""
-    return int(front.split("-")[1])
+def _controller_number(controller: str) -> int:
+    """The controller number in the name of a process."""
+    return int(controller.split("-")[1])
 
 
-def _mute(run: ObservedRun, held: ObservedSession) -> bool:
-    return any(at < held.end and at + 30 > held.begin for at in run.muted[held.streamer])
+def _silenced(run: ObservedRun, session: ObservedSession) -> bool:
+    """Whether a fault that silences the streamer began at most 30 s before the session or during it."""
+    return any(at < session.end and at + 30 > session.begin for at in run.silenced_at[session.streamer])
--- a/herongap/fleet/observations.py
+++ b/herongap/fleet/observations.py
@@ -1,17 +1,17 @@
-"""What stand-in streamers and clients saw on their sockets, by viewing. The rules read nothing else."""
+"""What stand-in streamers and clients observed on their sockets, by viewing; the only input of the rules."""
 
 from collections import defaultdict
 from typing import NamedTuple
 
 from herongap.fleet.figures import Outcome
 
-# Two sockets of one exchange are read by different processes; what one does before another may be seen after
-# it.
+# The two ends of an exchange are read by different processes, so the log entry of an earlier event may carry
+# the later time.
 CLOCK_SLACK_SECONDS = 0.05
 
 
 class Violation(NamedTuple):
-    """A broken rule: its number, when (seconds into the day), what, and the lines that show it."""
+    """A violation of a rule: its number, seconds since the start of the day, message, and log entries."""
 
     rule: int
     at: float
@@ -20,174 +20,209 @@
 
 
 class ObservedRequest(NamedTuple):
-    """One POST of a client and what came of it."""
+    """One POST of a client and its answer."""
 
     name: str
     identity: str
-    asked: float
-    answered: float
+    requested_at: float
+    answered_at: float
     status: int
     kind: str
-    front: int
+    controller_port: int
     location: str
 
 
 class ObservedTuneIn(NamedTuple):
-    """One tune-in as a streamer saw it: from its POST until it was answered or its caller hung up."""
+    """One tune-in as a streamer saw it: from its POST until it was answered or cancelled by its caller."""
 
     streamer: str
     begin: float
     end: float
-    how: str
+    outcome: str
     status: int
-    front: str
+    controller: str
     rung: int
     title: str
     cold: bool
 
 
 class ObservedSession(NamedTuple):
-    """One session as a streamer held it."""
+    """One session as a streamer had it. `reported` is whether its controller got the answer."""
 
     streamer: str
     begin: float
     end: float
-    front: str
+    controller: str
     title: str
-    out: ObservedTuneIn
-    told: bool
-    let_go: float
+    tune_in: ObservedTuneIn
+    reported: bool
+    released_at: float
 
 
 class ObservedRun:
-    """The logs of a rehearsal, put together by the identities of offers."""
+    """The logs of a rehearsal, grouped by the identities of offers."""
 
     def __init__(self, outcome: Outcome):
         self.outcome, self.day, self.began = outcome, outcome.day, outcome.began
-        self.package: dict[str, str] = {}
-        self.posts: list[ObservedRequest] = []
-        self.outs: dict[str, list[ObservedTuneIn]] = defaultdict(list)
+        self.package_of: dict[str, str] = {}
+        self.requests: list[ObservedRequest] = []
+        self.tune_ins: dict[str, list[ObservedTuneIn]] = defaultdict(list)
         self.sessions: dict[str, list[ObservedSession]] = defaultdict(list)
         self.rungs: dict[str, list[tuple[float, str, int]]] = defaultdict(list)
-        self.fell: list[tuple[float, str, dict]] = []
-        self.gone: list[tuple[float, set[str]]] = []
+        self.overloads: list[tuple[float, str, dict]] = []
+        self.unavailable: list[tuple[float, set[str]]] = []
         self.listed_by = "file"
-        # What an etcd has: (time, streamer, no new work to it), and whom it told so: (time, front, ...).
+        # The drains in etcd: (time, streamer, drained); and their notifications: (time, controller, streamer,
+        # drained).
         self.drained: list[tuple[float, str, bool]] = []
-        self.told: list[tuple[float, str, str, bool]] = []
-        self.fronts: dict[int, int] = {}
-        self.killed: dict[int, float] = {}
-        self.left: dict[int, float] = {}
-        # By a controller's number: when it was stopped, and when it went on; clocks made to run fast.
-        self.paused: dict[int, list[list[float]]] = defaultdict(list)
-        self.fast: dict[int, float] = defaultdict(lambda: 1.0)
-        # What the store had: (time, budget or number, value, None where it went).
+        self.drain_notifications: list[tuple[float, str, str, bool]] = []
+        # Controller number by the port of its process.
+        self.controllers: dict[int, int] = {}
+        self.killed_at: dict[int, float] = {}
+        self.left_at: dict[int, float] = {}
+        # By controller number: when it was paused and resumed, and the highest rate of its clock.
+        self.pauses: dict[int, list[list[float]]] = defaultdict(list)
+        self.clock_rates: dict[int, float] = defaultdict(lambda: 1.0)
+        # Values in the store: (time, budget or controller number, value; None when the key was deleted).
         self.budgets: list[tuple[float, str, str | None]] = []
         self.claims: list[tuple[float, str, str | None]] = []
-        self.muted: dict[str, list[float]] = defaultdict(list)
-        self.let_go: dict[tuple[str, str], float] = {}
-        self.lines: dict[str, list] = defaultdict(list)
-        self.stopping = float("inf")
-        self._read(outcome.lines)
+        self.silenced_at: dict[str, list[float]] = defaultdict(list)
+        self.released_at: dict[tuple[str, str], float] = {}
+        self.entries: dict[str, list] = defaultdict(list)
+        self.stopping_at = float("inf")
+        self._read_log(outcome.lines)
 
-    def _read(self, lines) -> None:
+    def _read_log(self, entries) -> None:
         wants: dict[str, str] = {}
-        open_outs: dict[tuple[str, str], list] = defaultdict(list)
+        open_tune_ins: dict[tuple[str, str], list] = defaultdict(list)
         open_sessions: dict[tuple[str, str], tuple] = {}
-        untold: set[tuple[str, str]] = set()
-        for at, who, what, d in lines:
-            identity = d.get("identity")
+        unreported: set[tuple[str, str]] = set()
+        for at, source, event, details in entries:
+            identity = details.get("identity")
             if identity:
-                self.lines[identity].append((round(at - self.began, 4), who, what, d))
-            if who == "stage":
-                self._stage(at, what, d)
-            elif who == "etcd" and what == "drain":
-                self.drained.append((at, d["streamer"], d["drained"]))
-            elif who == "etcd" and what == "budgets":
-                self.budgets.append((at, d["name"], d["value"]))
-            elif who == "etcd" and what == "controllers":
-                self.claims.append((at, d["name"], d["value"]))
-            elif who == "etcd" and what == "told":
-                self.told.append((at, d["front"], d["streamer"], d["drained"]))
-            elif what == "wants":
-                wants[who] = d["package"]
-            elif what == "asked":
-                self.package[identity] = wants[who]
-            elif what == "answered":
-                self.posts.append(
+                self.entries[identity].append((round(at - self.began, 4), source, event, details))
+            if source == "stage":
+                self._read_stage_event(at, event, details)
+            elif source == "etcd" and event == "drain":
+                self.drained.append((at, details["streamer"], details["drained"]))
+            elif source == "etcd" and event == "budgets":
+                self.budgets.append((at, details["name"], details["value"]))
+            elif source == "etcd" and event == "controllers":
+                self.claims.append((at, details["name"], details["value"]))
+            elif source == "etcd" and event == "told":
+                self.drain_notifications.append(
+                    (at, details["front"], details["streamer"], details["drained"])
+                )
+            elif event == "wants":
+                wants[source] = details["package"]
+            elif event == "asked":
+                self.package_of[identity] = wants[source]
+            elif event == "answered":
+                self.requests.append(
                     ObservedRequest(
-                        who, identity, d["asked"], at, d["status"], d["kind"], d["front"], d["location"]
+                        source,
+                        identity,
+                        details["asked"],
+                        at,
+                        details["status"],
+                        details["kind"],
+                        details["front"],
+                        details["location"],
                     )
                 )
-            elif what == "post":
-                open_outs[who, identity].append((at, d))
-            elif what in ("started", "refused", "hung-up"):
-                out = self._out(open_outs, who, identity, at, what, d.get("status", 0))
-                if what == "started":
-                    self.rungs[identity].append((at, who, d["rung"]))
-                    open_sessions[who, d["session"]] = (at, d, out)
-            elif what == "let-go":
-                self.let_go.setdefault((who, d["session"]), at)
-            elif what == "unanswered":
-                untold.add((who, d["session"]))
-            elif what == "ended":
-                begin, started, out = open_sessions.pop((who, d["session"]))
-                self._session(identity, who, begin, at, started, out, (who, d["session"]) not in untold)
-            elif what == "rung":
-                self.rungs[identity].append((at, who, d["rung"]))
-            elif what == "fell":
-                self.fell.append((at, who, d))
-            elif what == "order" and d["do"] in ("silent", "hang", "cut"):
-                self.muted[who].append(at)
-        for (who, identity), left in list(open_outs.items()):
-            while left:
-                self._out(open_outs, who, identity, float("inf"), "nothing", 0)
-        for (who, name), (begin, started, out) in open_sessions.items():
-            told = (who, name) not in untold
-            self._session(started["identity"], who, begin, float("inf"), started, out, told)
-
-    def _stage(self, at: float, what: str, d: dict) -> None:
-        if what == "front":
-            self.fronts[d["address"][1]] = d["number"]
-        elif what in ("killed", "left"):
-            port = max((p for p, n in self.fronts.items() if n == d["front"]), key=list(self.fronts).index)
-            (self.killed if what == "killed" else self.left)[port] = at
-            self._goes_on(d["front"], at)
-        elif what == "paused":
-            self.paused[d["front"]].append([at, float("inf")])
-        elif what == "went on":
-            self._goes_on(d["front"], at)
-        elif what == "controllers" and d["do"] == "clock":
-            for number in d["on"]:
-                self.fast[number] = max(self.fast[number], d.get("rate", 1.0))
-        elif what == "listed":
-            self.gone.append((at, set(d["gone"])))
-            self.listed_by = d.get("by", "file")
-        elif what == "stopping":
-            self.stopping = at
-
-    def _goes_on(self, number: int, at: float) -> None:
-        if self.paused[number] and self.paused[number][-1][1] == float("inf"):
-            self.paused[number][-1][1] = at
-
-    def stopped(self, number: int, since: float, until: float) -> float:
-        """For how many seconds of a time a controller's process was stopped by the stage."""
-        return sum(max(0.0, min(until, b) - max(since, a)) for a, b in self.paused.get(number, ()))
-
-    def _out(self, open_outs, who, identity, at, how, status) -> ObservedTuneIn | None:
-        if not open_outs[who, identity]:
+            elif event == "post":
+                open_tune_ins[source, identity].append((at, details))
+            elif event in ("started", "refused", "hung-up"):
+                tune_in = self._close_tune_in(
+                    open_tune_ins, source, identity, at, event, details.get("status", 0)
+                )
+                if event == "started":
+                    self.rungs[identity].append((at, source, details["rung"]))
+                    open_sessions[source, details["session"]] = (at, details, tune_in)
+            elif event == "let-go":
+                self.released_at.setdefault((source, details["session"]), at)
+            elif event == "unanswered":
+                unreported.add((source, details["session"]))
+            elif event == "ended":
+                begin, started, tune_in = open_sessions.pop((source, details["session"]))
+                self._add_session(
+                    identity,
+                    source,
+                    begin,
+                    at,
+                    started,
+                    tune_in,
+                    (source, details["session"]) not in unreported,
+                )
+            elif event == "rung":
+                self.rungs[identity].append((at, source, details["rung"]))
+            elif event == "fell":
+                self.overloads.append((at, source, details))
+            elif event == "order" and details["do"] in ("silent", "hang", "cut"):
+                self.silenced_at[source].append(at)
+        for (source, identity), remaining in list(open_tune_ins.items()):
+            while remaining:
+                self._close_tune_in(open_tune_ins, source, identity, float("inf"), "nothing", 0)
+        for (source, name), (begin, started, tune_in) in open_sessions.items():
+            reported = (source, name) not in unreported
+            self._add_session(started["identity"], source, begin, float("inf"), started, tune_in, reported)
+
+    def _read_stage_event(self, at: float, event: str, details: dict) -> None:
+        if event == "front":
+            self.controllers[details["address"][1]] = details["number"]
+        elif event in ("killed", "left"):
+            port = max(
+                (p for p, n in self.controllers.items() if n == details["front"]),
+                key=list(self.controllers).index,
+            )
+            (self.killed_at if event == "killed" else self.left_at)[port] = at
+            self._resume(details["front"], at)
+        elif event == "paused":
+            self.pauses[details["front"]].append([at, float("inf")])
+        elif event == "went on":
+            self._resume(details["front"], at)
+        elif event == "controllers" and details["do"] == "clock":
+            for number in details["on"]:
+                self.clock_rates[number] = max(self.clock_rates[number], details.get("rate", 1.0))
+        elif event == "listed":
+            self.unavailable.append((at, set(details["gone"])))
+            self.listed_by = details.get("by", "file")
+        elif event == "stopping":
+            self.stopping_at = at
+
+    def _resume(self, number: int, at: float) -> None:
+        if self.pauses[number] and self.pauses[number][-1][1] == float("inf"):
+            self.pauses[number][-1][1] = at
+
+    def paused_seconds(self, number: int, since: float, until: float) -> float:
+        """For how many seconds of a period the controller's process was paused."""
+        return sum(max(0.0, min(until, b) - max(since, a)) for a, b in self.pauses.get(number, ()))
+
+    def _close_tune_in(self, open_tune_ins, source, identity, at, outcome, status) -> ObservedTuneIn | None:
+        if not open_tune_ins[source, identity]:
             return None
-        begin, d = open_outs[who, identity].pop(0)
-        out = ObservedTuneIn(
-            who, begin, at, how, status, d["front"], d["rung"], d["title"], d.get("cold", False)
+        begin, details = open_tune_ins[source, identity].pop(0)
+        tune_in = ObservedTuneIn(
+            source,
+            begin,
+            at,
+            outcome,
+            status,
+            details["front"],
+            details["rung"],
+            details["title"],
+            details.get("cold", False),
         )
-        self.outs[identity].append(out)
-        return out
+        self.tune_ins[identity].append(tune_in)
+        return tune_in
 
-    def _session(self, identity, who, begin, end, started, out, told) -> None:
-        let_go = self.let_go.get((who, started["session"]), float("inf"))
-        held = ObservedSession(who, begin, end, started["front"], started["title"], out, told, let_go)
-        self.sessions[identity].append(held)
+    def _add_session(self, identity, source, begin, end, started, tune_in, reported) -> None:
+        released_at = self.released_at.get((source, started["session"]), float("inf"))
+        session = ObservedSession(
+            source, begin, end, started["front"], started["title"], tune_in, reported, released_at
+        )
+        self.sessions[identity].append(session)
 
-    def broken(self, rule: int, at: float, what: str, identity: str | None = None) -> Violation:
-        return Violation(rule, round(at - self.began, 3), what, self.lines.get(identity, []))
+    def violation(self, rule: int, at: float, what: str, identity: str | None = None) -> Violation:
+        """A violation with all log entries of that identity as evidence."""
+        return Violation(rule, round(at - self.began, 3), what, self.entries.get(identity, []))
