--- a/herongap/fleet/baselines.py
+++ b/herongap/fleet/baselines.py
@@ -1,61 +1,66 @@
-"""Other ways to place, for comparison alone; the rules are kept by the module's own parts in all of them.
+"""Baseline placement policies, for comparison only; the module's components keep the rules in all of them.
 
-`random`, `round-robin`, `least-used` and `two-choices` differ from the design in one point: which of the
-holders with room is taken. Rungs, cuts, raises and blocking stay. `blind` leaves out loads as well: any
-ready holder by chance, always on the highest rung that the viewer can use, never cut; what a front without
-estimates would do. Each is a class or two to be put before the module's part of that name.
+`random`, `round-robin`, `least-used` and `two-choices` differ from the module in one decision: which of the
+holders with spare capacity is chosen. Rungs, lowering, raising and blocking are the same. `blind` also
+ignores loads: a random ready holder, always the highest rung that the viewer can use, never lowered, as a
+controller without load estimates would do. Each policy is one or two classes that override components of the
+module.
 """
 
 from herongap.rules import Controller
 
 
 class RandomHolder:
-    """Any holder with room, by chance."""
+    """Chooses a random holder with spare capacity."""
 
-    def pick(self, now, vw, room):
-        return room[int(self.state.random_fraction() * len(room))]
+    def pick(self, now, viewing, candidates):
+        return candidates[int(self.state.random_fraction() * len(candidates))]
 
 
 class RoundRobin:
-    """The holders with room in turn, by sorted ids, one turn for each package."""
+    """Chooses the holders with spare capacity in turn, by sorted ids, separately for each package."""
 
-    def pick(self, now, vw, room):
-        room = sorted(room, key=lambda st: st.entry.streamer)
-        last = self.last_chosen.get(vw.package.name)
-        st = room[0] if last is None else next((st for st in room if st.entry.streamer > last), room[0])
-        self.last_chosen[vw.package.name] = st.entry.streamer
-        return st
+    def pick(self, now, viewing, candidates):
+        candidates = sorted(candidates, key=lambda streamer: streamer.entry.streamer)
+        last = self.last_chosen.get(viewing.package.name)
+        streamer = (
+            candidates[0]
+            if last is None
+            else next((streamer for streamer in candidates if streamer.entry.streamer > last), candidates[0])
+        )
+        self.last_chosen[viewing.package.name] = streamer.entry.streamer
+        return streamer
 
 
 class LeastUsed:
-    """The holder with room that has the fewest of this controller's own viewings."""
+    """Chooses the holder with spare capacity that has the fewest viewings of this controller."""
 
-    def pick(self, now, vw, room):
-        return min(room, key=lambda st: (len(st.viewings), self.state.random_fraction()))
+    def pick(self, now, viewing, candidates):
+        return min(candidates, key=lambda streamer: (len(streamer.viewings), self.state.random_fraction()))
 
 
 class TwoChoices:
-    """Of two holders with room, drawn by chance, the one with fewer own viewings (Mitzenmacher, 2001)."""
+    """Draws two holders and chooses the one with fewer viewings of this controller (Mitzenmacher, 2001)."""
 
-    def pick(self, now, vw, room):
-        drawn = [room[int(self.state.random_fraction() * len(room))] for _ in range(2)]
-        return min(drawn, key=lambda st: len(st.viewings))
+    def pick(self, now, viewing, candidates):
+        drawn = [candidates[int(self.state.random_fraction() * len(candidates))] for _ in range(2)]
+        return min(drawn, key=lambda streamer: len(streamer.viewings))
 
 
-class Blind:
-    """Sees every ready holder as empty."""
+class IgnoreLoad:
+    """Treats every ready holder as empty."""
 
-    def utilization(self, now, st, more=0.0):
+    def utilization(self, now, streamer, more=0.0):
         return 0.0
 
 
-class Unmoved:
-    """Leaves what plays at its rung."""
+class FixedRungs:
+    """Leaves playing viewings at their rung."""
 
-    def cut(self, now, st):
+    def cut(self, now, streamer):
         return None
 
-    def raise_one(self, now, st):
+    def raise_one(self, now, streamer):
         return None
 
 
@@ -64,18 +69,21 @@
     "round-robin": {"QualityTable": RoundRobin},
     "least-used": {"QualityTable": LeastUsed},
     "two-choices": {"QualityTable": TwoChoices},
-    "blind": {"QualityTable": RandomHolder, "ControllerState": Blind, "RungControl": Unmoved},
+    "blind": {"QualityTable": RandomHolder, "ControllerState": IgnoreLoad, "RungControl": FixedRungs},
 }
 
 
-def with_components(base: type, **parts: type) -> type:
-    """The deciding class `base` with classes of ours put before its parts of those names."""
-    put = {name: type(part.__name__, (part, getattr(base, name)), {}) for name, part in parts.items()}
-    return type(base.__name__, (base,), put)
+def with_components(base: type, **components: type) -> type:
+    """The deciding class `base` with classes that override its components of those names."""
+    overrides = {
+        name: type(component.__name__, (component, getattr(base, name)), {})
+        for name, component in components.items()
+    }
+    return type(base.__name__, (base,), overrides)
 
 
 def controller_class(policy: str, base: type = Controller) -> type:
-    """The deciding class of a policy on a version of the module; "herongap" is the version itself."""
+    """The deciding class of a policy for a version of the module; "herongap" is the unchanged version."""
     return base if policy == "herongap" else with_components(base, **BASELINES[policy])
 
 
--- a/herongap/fleet/clock.py
+++ b/herongap/fleet/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: due calls in one order, and chance by name."""
+"""Virtual time: scheduled calls in a fixed order, and random streams by name."""
 
 import zlib
 from collections.abc import Callable
@@ -8,20 +8,22 @@
 
 
 class Clock:
-    """Runs calls at their times; those of one time in the order in which they were asked for."""
+    """Runs scheduled calls at their times, and calls of the same time in the order of scheduling."""
 
     def __init__(self):
         self.now, self._due, self._count = 0.0, [], 0
 
     def at(self, when: float, call: Callable, *args) -> None:
+        """Schedules a call at a time."""
         self._count += 1
         heappush(self._due, (when, self._count, call, args))
 
     def after(self, seconds: float, call: Callable, *args) -> None:
+        """Schedules a call after a delay."""
         self.at(self.now + seconds, call, *args)
 
     def run(self, until: float) -> int:
-        """Run what is due up to a time; how many calls that were."""
+        """Runs the calls that are due up to a time and returns their number."""
         ran = 0
         while self._due and self._due[0][0] <= until:
             self.now, _, call, args = heappop(self._due)
@@ -32,8 +34,8 @@
 
 
 def random_stream(seed: int, *name) -> np.random.Generator:
-    """Chance of its own for each name: one more draw in one place moves nothing elsewhere.
+    """A random generator for each name, so that an additional draw in one place changes no other.
 
-    The name's checksum, not its `hash`, which differs from process to process.
+    Seeded with a checksum of the name instead of its `hash`, which differs between processes.
     """
     return np.random.Generator(np.random.PCG64([seed, zlib.crc32(repr(name).encode())]))
--- a/herongap/fleet/errors.py
+++ b/herongap/fleet/errors.py
@@ -1,9 +1,9 @@
-"""The errors of the model."""
+"""The errors of the simulation model."""
 
 from herongap.errors import Unusable
 
 
 class UnsupportedTroubleError(Unusable):
-    """Something of a day that the model does not know."""
+    """A day has a trouble that the model cannot simulate."""
 
     advice = "play the day with `herongap rehearse`"
--- a/herongap/fleet/experiment.py
+++ b/herongap/fleet/experiment.py
@@ -1,6 +1,6 @@
-"""What is compared: an experiment's INI file, its arms, and one job, which is one day under one arm.
+"""Experiments: their INI files, their arms, and jobs, each of which is one day under one arm.
 
-A job depends on nothing but its arm, its day and its seed, so its result can be kept and found again.
+The result of a job depends on its arm, its day and its seed alone, so it can be stored and reused.
 """
 
 import configparser
@@ -25,8 +25,8 @@
 PACKAGE_FOLDER = Path(__file__).resolve().parent.parent
 
 
-class BadArm(Unusable):
-    """An [arm NAME] that cannot be played."""
+class InvalidArmError(Unusable):
+    """An [arm NAME] section that cannot be run."""
 
     advice = "correct the key that is named in the experiment file"
 
@@ -44,8 +44,8 @@
     bound_days: Annotated[int, Field(ge=0)] = 2
 
 
-class ArmPart(Part):
-    """An [arm NAME] section. `set` changes named values of the module, NAME=VALUE, separated by commas."""
+class ArmSection(Part):
+    """An [arm NAME] section. `set` overrides constants of the module: NAME=VALUE, separated by commas."""
 
     policy: str = "herongap"
     module: str = ""
@@ -55,10 +55,10 @@
 
 
 class Arm(NamedTuple):
-    """One arm: a policy, on a version of the module with some values changed, on a day.
+    """One arm: a policy, a version of the deciding module with some constants overridden, and a day.
 
-    `module` is the folder of a version of the module; `luck` gives its controllers other chance on the same
-    days.
+    `module` is the folder of a version of the module; `luck` changes the seed of the controllers' random
+    draws on the same days.
     """
 
     name: str
@@ -69,8 +69,8 @@
     luck: int
 
     def digest(self) -> str:
-        """What the results of this arm depend on, beside the seed: its day, its module, and the model
-        itself.
+        """A hash of all that the results of this arm depend on, except the seed: its settings, its day, its
+        module, and the sources of the model.
         """
         hashed = hashlib.sha256(json.dumps([self.policy, self.values, self.luck]).encode())
         for path in (Path(self.day), *sorted(Path(self.module).glob("*.py")), *_sources()):
@@ -79,7 +79,7 @@
 
 
 class Experiment(NamedTuple):
-    """A plan and its arms; the first is what the others are compared with."""
+    """A plan and its arms; the first arm is the control."""
 
     plan: Plan
     arms: tuple[Arm, ...]
@@ -94,98 +94,105 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Raises Faults with all that is wrong; paths in the file are taken from its folder."""
+    """Reads an experiment's INI file; paths are relative to its folder. Raises Faults with all errors."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     try:
         parser.read_string(path.read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError, configparser.Error) as fault:
-        raise Faults(f"{path}: {fault}") from fault
-    faults: list[str] = []
-    plan, parts = None, {}
+    except (OSError, UnicodeDecodeError, configparser.Error) as error:
+        raise Faults(f"{path}: {error}") from error
+    errors: list[str] = []
+    plan, arm_sections = None, {}
     for section in parser.sections():
         kind, _, name = section.partition(" ")
-        model = Plan if section == "experiment" else ArmPart if kind == "arm" and name else None
+        model = Plan if section == "experiment" else ArmSection if kind == "arm" and name else None
         if model is None:
-            faults.append(f"{path}: [{section}]: unknown section; allowed: experiment, arm NAME")
+            errors.append(f"{path}: [{section}]: unknown section; allowed: experiment, arm NAME")
             continue
         try:
-            part = model.model_validate(dict(parser[section]))
-        except ValidationError as fault:
-            faults += [f"{path}: [{section}] {e['loc'][0]}: {e['msg']}" for e in fault.errors()]
+            parsed = model.model_validate(dict(parser[section]))
+        except ValidationError as error:
+            errors += [f"{path}: [{section}] {e['loc'][0]}: {e['msg']}" for e in error.errors()]
             continue
         if model is Plan:
-            plan = part
+            plan = parsed
         else:
-            parts[name] = part
-    if plan is None and not faults:
-        faults.append(f"{path}: [experiment]: missing")
-    if len(parts) < 2 and not faults:
-        faults.append(f"{path}: at least two [arm NAME] sections are needed")
-    near, arms = path.resolve().parent, []
-    for name, part in parts.items() if not faults else ():
+            arm_sections[name] = parsed
+    if plan is None and not errors:
+        errors.append(f"{path}: [experiment]: missing")
+    if len(arm_sections) < 2 and not errors:
+        errors.append(f"{path}: at least two [arm NAME] sections are needed")
+    folder, arms = path.resolve().parent, []
+    for name, section in arm_sections.items() if not errors else ():
         try:
-            arms.append(_arm(name, part, plan, near))
-        except (ValueError, OSError) as fault:
-            faults.append(f"{path}: [arm {name}]: {fault}")
-    if faults:
-        raise Faults("\n".join(faults))
+            arms.append(_arm(name, section, plan, folder))
+        except (ValueError, OSError) as error:
+            errors.append(f"{path}: [arm {name}]: {error}")
+    if errors:
+        raise Faults("\n".join(errors))
     return Experiment(plan, tuple(arms))
 
 
-def _arm(name: str, part: ArmPart, plan: Plan, near: Path) -> Arm:
-    if part.policy not in baselines.POLICIES:
-        raise BadArm(f"policy = {part.policy}: allowed are {', '.join(baselines.POLICIES)}")
-    module = near / part.module if part.module else PACKAGE_FOLDER / "rules"
+def _arm(name: str, section: ArmSection, plan: Plan, folder: Path) -> Arm:
+    if section.policy not in baselines.POLICIES:
+        raise InvalidArmError(f"policy = {section.policy}: allowed are {', '.join(baselines.POLICIES)}")
+    module = folder / section.module if section.module else PACKAGE_FOLDER / "rules"
     if (module / "herongap").is_dir():
-        # An installed or unpacked version of the package.
+        # The folder of an installed or unpacked version of the package.
         module = module / "herongap" / "rules"
     values = []
-    for pair in filter(None, map(str.strip, part.set.split(","))):
+    for pair in filter(None, map(str.strip, section.set.split(","))):
         key, _, value = pair.partition("=")
         values.append((key.strip(), float(value)))
-    arm = Arm(name, part.policy, str(module), tuple(values), str(near / (part.day or plan.day)), part.luck)
+    arm = Arm(
+        name,
+        section.policy,
+        str(module),
+        tuple(values),
+        str(folder / (section.day or plan.day)),
+        section.luck,
+    )
     read_day(Path(arm.day))
-    _deciding(arm)
+    _load_controller_class(arm)
     return arm
 
 
-def _deciding(arm: Arm) -> type:
-    """The arm's deciding class, from a copy of its module that nothing else uses."""
+def _load_controller_class(arm: Arm) -> type:
+    """The arm's deciding class, from a copy of its module that no other arm uses."""
     name, folder = f"herongap_arm_{arm.digest()}", Path(arm.module)
     if not (folder / "__init__.py").is_file():
-        raise BadArm(f"module = {arm.module}: not a folder of a module")
+        raise InvalidArmError(f"module = {arm.module}: not the folder of a module")
     spec = importlib.util.spec_from_file_location(
         name, folder / "__init__.py", submodule_search_locations=[arm.module]
     )
     module = importlib.util.module_from_spec(spec)
     try:
-        # Under its name while it loads, so that its files find each other; then dropped: each has its own.
+        # The module is registered only while it loads, so that its files can import each other.
         sys.modules[name] = module
         spec.loader.exec_module(module)
     finally:
-        parts = [sys.modules.pop(key) for key in list(sys.modules) if key.partition(".")[0] == name]
+        loaded = [sys.modules.pop(key) for key in list(sys.modules) if key.partition(".")[0] == name]
     for key, value in arm.values:
-        # A value may be named in more than the file that it stands in.
-        having = [part for part in parts if isinstance(getattr(part, key, None), int | float)]
-        if not having:
-            raise BadArm(f"set {key}: the module has no such value")
-        for part in having:
+        # A constant may be imported by more files than the one that defines it.
+        holders = [part for part in loaded if isinstance(getattr(part, key, None), int | float)]
+        if not holders:
+            raise InvalidArmError(f"set {key}: the module has no such value")
+        for part in holders:
             setattr(part, key, type(getattr(part, key))(value))
     return baselines.controller_class(arm.policy, module.Controller)
 
 
-def play(arm: Arm, seed: int) -> tuple[Day, Outcome, Model]:
-    """One day under one arm. Chance in days is by seed alone, so arms meet the same viewers and troubles."""
+def simulate_day(arm: Arm, seed: int) -> tuple[Day, Outcome, Model]:
+    """Simulates one day under one arm. All arms get the same viewers and troubles for a seed."""
     day = read_day(Path(arm.day))
-    model = Model(day, seed, _deciding(arm), luck=arm.luck)
+    model = Model(day, seed, _load_controller_class(arm), luck=arm.luck)
     lines = model.run()
     return day, Outcome(day, model.script, 0.0, lines), model
 
 
 def run_job(arm: Arm, seed: int) -> dict:
-    """One day under one arm, as what is kept of it: the report, JSON's own types alone."""
-    _, outcome, model = play(arm, seed)
-    told = report(outcome, check(outcome))._asdict()
-    # Through JSON and back, so that a result is the same whether it was just made or read from the store.
-    return json.loads(json.dumps({**told, "held_most": model.held_most}))
+    """Simulates one day under one arm and returns its report, in types of JSON."""
+    _, outcome, model = simulate_day(arm, seed)
+    report_fields = report(outcome, check(outcome))._asdict()
+    # Through JSON and back, so that a new result equals the same result read from the store.
+    return json.loads(json.dumps({**report_fields, "held_most": model.held_most}))
--- a/herongap/fleet/figures.py
+++ b/herongap/fleet/figures.py
@@ -1,6 +1,6 @@
-"""What a day came to: service as the users count it, and where the value went that was not served.
+"""The results of a played day: service as users experience it, and the causes of lost value.
 
-Reads the lines of a rehearsal or of the model, which have one shape: (time, who, what, details).
+Reads the log entries of a rehearsal or of the model, which have one format: (time, source, event, details).
 """
 
 import statistics
@@ -11,7 +11,7 @@
 
 
 class Outcome(NamedTuple):
-    """A day played: its lines in the order of their times; `began` is the time of its start."""
+    """A played day with its log entries in the order of their times; `began` is the time of its start."""
 
     day: Day
     script: Script
@@ -20,7 +20,10 @@
 
 
 class Report(NamedTuple):
-    """Shares are parts of 1, times seconds. `lost` are parts of the value asked for, by what took them."""
+    """The results: shares are parts of 1, times are seconds.
+
+    `lost` gives the lost parts of the requested value by cause.
+    """
 
     viewings: int
     tune_ins: int
@@ -35,10 +38,8 @@
     series: list[float]
 
 
-class Played(NamedTuple):
-    """One session that its viewer joined, in value: at its top rung, at the rungs it had, and as
-    delivered.
-    """
+class JoinedSession(NamedTuple):
+    """One session that its viewer joined: its value at the top rung, at its rungs, and as delivered."""
 
     package: str
     begin: float
@@ -49,75 +50,84 @@
     in_time: bool
 
 
-def report(outcome: Outcome, breaks: list) -> Report:
-    """Service is the value answered within the join target over the value asked for.
+def report(outcome: Outcome, violations: list) -> Report:
+    """Service is the value of sessions that started within the join target, over the requested value.
 
-    A viewer asks for its whole length at the highest rung that it can use, times its package's value.
+    A viewer requests its whole length at the highest rung that it can use, times the value of its package.
     """
     day, lines = outcome.day, outcome.lines
-    wants = {who: d for _, who, what, d in lines if what == "wants"}
+    requests = {source: details for _, source, event, details in lines if event == "wants"}
     offered, earned = defaultdict(float), defaultdict(float)
-    for d in wants.values():
-        offered[d["package"]] += (
-            d["seconds"] * day.packages[d["package"]].value * day.settings.values[d["top"]]
+    for details in requests.values():
+        offered[details["package"]] += (
+            details["seconds"] * day.packages[details["package"]].value * day.settings.values[details["top"]]
         )
-    asked = {d["identity"]: who for _, who, what, d in lines if what == "asked"}
-    answered = [d for _, _, what, d in lines if what == "answered"]
-    joins = sorted(d["taken"] for d in answered if d["status"] == 201)
+    viewer_of = {details["identity"]: source for _, source, event, details in lines if event == "asked"}
+    answers = [details for _, _, event, details in lines if event == "answered"]
+    join_times = sorted(details["taken"] for details in answers if details["status"] == 201)
     total = max(1e-9, sum(offered.values()))
     lost = dict.fromkeys(("late", "low rung", "stalls"), 0.0)
     seconds = [0.0] * (int(day.settings.seconds) + 1)
-    for p in _played(outcome, wants, asked, answered):
-        lost["low rung"] += p.top - p.rungs
-        lost["stalls"] += p.rungs - p.earned
-        if not p.in_time:
-            lost["late"] += p.earned
+    for session in _joined_sessions(outcome, requests, viewer_of, answers):
+        lost["low rung"] += session.top - session.rungs
+        lost["stalls"] += session.rungs - session.earned
+        if not session.in_time:
+            lost["late"] += session.earned
             continue
-        earned[p.package] += p.earned
-        for second in range(int(p.begin), min(int(p.end) + 1, len(seconds))):
-            part = min(p.end, second + 1) - max(p.begin, second)
-            seconds[second] += p.earned * part / max(1e-9, p.end - p.begin)
+        earned[session.package] += session.earned
+        for second in range(int(session.begin), min(int(session.end) + 1, len(seconds))):
+            part = min(session.end, second + 1) - max(session.begin, second)
+            seconds[second] += session.earned * part / max(1e-9, session.end - session.begin)
     served = sum(earned.values())
     lost["not served"] = total - served - sum(lost.values())
     return Report(
-        viewings=len(asked),
-        tune_ins=sum(what == "post" for _, _, what, _ in lines),
-        statuses=dict(sorted(Counter(f"{d['status']} {d['kind']}".strip() for d in answered).items())),
+        viewings=len(viewer_of),
+        tune_ins=sum(event == "post" for _, _, event, _ in lines),
+        statuses=dict(
+            sorted(Counter(f"{details['status']} {details['kind']}".strip() for details in answers).items())
+        ),
         service=round(served / total, 6),
         by_package={name: round(earned[name] / offered[name], 6) for name in sorted(offered)},
         lost={name: round(value / total, 6) for name, value in lost.items()},
-        join_p50=round(statistics.median(joins), 4) if joins else 0.0,
-        join_p99=round(joins[int(0.99 * len(joins))], 4) if joins else 0.0,
-        ends=dict(sorted(Counter(d["reason"] for _, _, what, d in lines if what == "ended").items())),
-        broken=dict(sorted(Counter(b.rule for b in breaks).items())),
+        join_p50=round(statistics.median(join_times), 4) if join_times else 0.0,
+        join_p99=round(join_times[int(0.99 * len(join_times))], 4) if join_times else 0.0,
+        ends=dict(
+            sorted(Counter(details["reason"] for _, _, event, details in lines if event == "ended").items())
+        ),
+        broken=dict(sorted(Counter(violation.rule for violation in violations).items())),
         series=[round(s, 3) for s in seconds],
     )
 
 
-def _played(outcome: Outcome, wants: dict, asked: dict, answered: list[dict]):
+def _joined_sessions(outcome: Outcome, requests: dict, viewer_of: dict, answers: list[dict]):
+    """The sessions that ended and that their viewers had joined."""
     day = outcome.day
     in_time = {
-        d["identity"]
-        for d in answered
-        if d["status"] == 201
-        and d["taken"] <= day.packages[wants[asked[d["identity"]]]["package"]].join_target
+        details["identity"]
+        for details in answers
+        if details["status"] == 201
+        and details["taken"] <= day.packages[requests[viewer_of[details["identity"]]]["package"]].join_target
     }
     running: dict[tuple, list] = {}
-    for at, who, what, d in outcome.lines:
-        key = who, d.get("session")
-        if what == "started":
-            running[key] = [at, at, d["rung"], 0.0]
-        elif what == "rung" and key in running:
-            run = running[key]
-            run[3] += day.settings.values[run[2]] * (at - run[1])
-            run[1], run[2] = at, d["rung"]
-        elif what == "ended":
+    for at, source, event, details in outcome.lines:
+        key = source, details.get("session")
+        if event == "started":
+            running[key] = [at, at, details["rung"], 0.0]
+        elif event == "rung" and key in running:
+            state = running[key]
+            state[3] += day.settings.values[state[2]] * (at - state[1])
+            state[1], state[2] = at, details["rung"]
+        elif event == "ended":
             begin, since, rung, value = running.pop(key)
-            if d["joined"] and d["identity"] in asked:
-                want = wants[asked[d["identity"]]]
-                worth = day.packages[want["package"]].value
+            if details["joined"] and details["identity"] in viewer_of:
+                request = requests[viewer_of[details["identity"]]]
+                package_value = day.packages[request["package"]].value
                 value += day.settings.values[rung] * (at - since)
-                top = day.settings.values[want["top"]] * (at - begin)
+                top = day.settings.values[request["top"]] * (at - begin)
                 begin, end = begin - outcome.began, at - outcome.began
-                had = worth * max(top, value), worth * value, worth * min(d["earned"], value)
-                yield Played(want["package"], begin, end, *had, d["identity"] in in_time)
+                values = (
+                    package_value * max(top, value),
+                    package_value * value,
+                    package_value * min(details["earned"], value),
+                )
+                yield JoinedSession(request["package"], begin, end, *values, details["identity"] in in_time)
--- a/herongap/fleet/links.py
+++ b/herongap/fleet/links.py
@@ -1,36 +1,36 @@
-"""How a link is shared: the two formulas that the model and the stand-ins use.
+"""The two formulas by which the model and the stand-ins divide the bandwidth of a link.
 
-Rates in any one unit; shares are parts of 1.
+Rates may be in any unit; shares are parts of 1.
 """
 
 from collections.abc import Sequence
 
 
-def proportional_share(asked: float, size: float) -> float:
-    """The share of its rate that everybody gets where `asked` is asked of `size`: min(1, size / asked).
+def proportional_share(demand: float, capacity: float) -> float:
+    """The share of its rate that each sender gets: min(1, capacity / demand).
 
-    Each gives up in proportion, as where senders at fixed rates overrun one queue that drops at random.
+    All lose in proportion, as when senders at fixed rates overload one queue that drops at random.
     """
-    return 1.0 if asked <= size else size / asked
+    return 1.0 if demand <= capacity else capacity / demand
 
 
-def max_min_rates(asked: Sequence[float], size: float) -> list[float]:
-    """What each gets under max-min fairness, by progressive filling (Bertsekas and Gallager, Data Networks,
-    6.5.2).
+def max_min_rates(demands: Sequence[float], capacity: float) -> list[float]:
+    """The rate of each sender under max-min fairness, by progressive filling (Bertsekas and Gallager, Data
+    Networks, 6.5.2).
 
-    Nobody gets more than it asks; what is left over is split evenly among those that ask for more; so none
-    can get more without one that has no more than it losing some.
+    No sender gets more than its demand; the rest is divided evenly among those with a higher demand. So no
+    rate can be raised without lowering one that is not higher.
     """
-    given = [0.0] * len(asked)
-    left, waiting = size, sorted(range(len(asked)), key=lambda i: asked[i])
-    while waiting:
-        part = left / len(waiting)
-        first = waiting[0]
-        if asked[first] > part:
-            for i in waiting:
-                given[i] = part
+    rates = [0.0] * len(demands)
+    remaining, unsatisfied = capacity, sorted(range(len(demands)), key=lambda i: demands[i])
+    while unsatisfied:
+        fair_share = remaining / len(unsatisfied)
+        smallest = unsatisfied[0]
+        if demands[smallest] > fair_share:
+            for i in unsatisfied:
+                rates[i] = fair_share
             break
-        given[first] = asked[first]
-        left -= asked[first]
-        waiting.pop(0)
-    return given
+        rates[smallest] = demands[smallest]
+        remaining -= demands[smallest]
+        unsatisfied.pop(0)
+    return rates
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The model: its formulas, its sameness for a seed, its rules, and what experiments say of it."""
+"""The simulation model: formulas, reproducibility, the rules, and the statistics of experiments."""
 
 import json
 import os
@@ -31,7 +31,7 @@
 from herongap.host import Recorder
 from herongap.ini import Faults, parse_site
 
-KIND = MachineProfile((100.0, 300.0), (0.4, 1.0), 1000.0, 1500.0, 5, warm_up=10.0)
+PROFILE = MachineProfile((100.0, 300.0), (0.4, 1.0), 1000.0, 1500.0, 5, warm_up=10.0)
 PLAN = """
 [experiment]
 day = day.ini
@@ -47,16 +47,16 @@
 
 
 @given(st.lists(st.floats(0, 1e6), max_size=12), st.floats(1.0, 1e6))
-def test_shares_conserve_and_are_fair(asked, size):
-    given_ = max_min_rates(asked, size)
-    assert sum(given_) <= size * (1 + 1e-9) and all(g <= a for g, a in zip(given_, asked, strict=True))
+def test_shares_add_up_to_the_capacity_and_are_fair(asked, size):
+    rates = max_min_rates(asked, size)
+    assert sum(rates) <= size * (1 + 1e-9) and all(g <= a for g, a in zip(rates, asked, strict=True))
     if sum(asked) >= size:
-        assert sum(given_) == pytest.approx(size)
-        # Nobody is held under another that gets more: max-min.
-        held = [g for g, a in zip(given_, asked, strict=True) if g < a - 1e-9 * size]
-        assert all(g == pytest.approx(max(given_)) for g in held)
+        assert sum(rates) == pytest.approx(size)
+        # Max-min: all senders that get less than their demand get the same, highest rate.
+        held = [g for g, a in zip(rates, asked, strict=True) if g < a - 1e-9 * size]
+        assert all(g == pytest.approx(max(rates)) for g in held)
     else:
-        assert given_ == asked
+        assert rates == asked
     share = proportional_share(sum(asked), size)
     assert share * sum(asked) <= size * (1 + 1e-9) and (
         share == 1.0 or share * sum(asked) == pytest.approx(size)
@@ -64,44 +64,44 @@
 
 
 @pytest.mark.parametrize("sharing", ["equal", "max_min"])
-def test_a_machine_shares_its_link_and_accounts_what_viewers_get(sharing):
+def test_machine_divides_its_link_and_accounts_for_the_value_of_sessions(sharing):
     rack = Rack(1500.0, sharing)
-    a, b = (Machine(KIND._replace(sharing=sharing), name, "", rack) for name in "ab")
-    one = Session("1", "x", "t", 1, "f", 0.0)
-    a.start_session(0.0, one)
+    a, b = (Machine(PROFILE._replace(sharing=sharing), name, "", rack) for name in "ab")
+    session = Session("1", "x", "t", 1, "f", 0.0)
+    a.start_session(0.0, session)
     assert a.share == 1.0
     for i in range(4):
         a.start_session(1.0, Session(f"a{i}", "x", "t", 1, "f", 1.0))
     assert a.share == pytest.approx(1000 / 1500) and a.full()
     for i in range(3):
         b.start_session(2.0, Session(f"b{i}", "x", "t", 1, "f", 2.0))
-    # 1500 and 900 asked of 1500: in equal parts of what is asked, or 750 each.
+    # A demand of 1500 and 900 on an uplink of 1500: in proportion to the demand, or 750 each.
     assert b.share == pytest.approx(1500 / 2400 if sharing == "equal" else 750 / 900)
     b.apply_command(3.0, {"do": "silent"})
-    seconds, earned = a.end_session(4.0, one)
+    seconds, earned = a.end_session(4.0, session)
     assert seconds == 4.0 and earned == pytest.approx(
         1.0 + 0.0
-    )  # one whole second, then stalls beyond all value
+    )  # full value for one second, then the cost of stalls exceeds it
     low = Session("low", "x", "t", 0, "f", 4.0)
-    c = Machine(KIND, "c", "", Rack(1e9))
+    c = Machine(PROFILE, "c", "", Rack(1e9))
     c.start_session(4.0, low)
     c.change_rung(6.0, low, 1)
     assert c.end_session(9.0, low)[1] == pytest.approx(2 * 0.4 + 3 * 1.0)
 
 
-def test_a_cold_machine_falls_over_at_the_stated_pace_and_not_under_it():
-    for pace, falls in ((0.45, False), (0.2, True)):
-        m = Machine(KIND, "m", "", Rack(1e9), started=0.0)
-        # 2.5 times 5 places in 10 s at 0.4 warmth: half a set-up a second, but one is always borne.
-        fell = (
+def test_cold_machine_is_overloaded_above_the_configured_set_up_rate_only():
+    for pace, overloads in ((0.45, False), (0.2, True)):
+        m = Machine(PROFILE, "m", "", Rack(1e9), started=0.0)
+        # 2.5 times 5 places in 10 s at a warmth of 0.4: half a set-up per second, but one is always allowed.
+        exceeded = (
             [m.register_set_up(n * pace) for n in range(1, 8)]
-            if falls
+            if overloads
             else [m.register_set_up(n * 1.05) for n in range(1, 8)]
         )
-        assert any(most is not None for most in fell) is falls and m.overloaded is falls
+        assert any(most is not None for most in exceeded) is overloads and m.overloaded is overloads
 
 
-def test_time_runs_in_order_and_chance_goes_by_name():
+def test_clock_runs_calls_in_order_and_random_streams_depend_on_their_name():
     clock, seen = Clock(), []
     for at, what in ((2.0, "b"), (1.0, "a"), (2.0, "c")):
         clock.at(at, seen.append, what)
@@ -111,21 +111,21 @@
 
 
 @pytest.fixture
-def bad(tmp_path):
+def bad_day(tmp_path):
     (tmp_path / "day.ini").write_text(DAY + TROUBLES)
     return read_day(tmp_path / "day.ini")
 
 
-def test_a_day_is_the_same_for_a_seed_and_keeps_the_rules(bad):
+def test_day_is_reproducible_for_a_seed_and_keeps_the_rules(bad_day):
     for seed in range(3):
-        first, again = Model(bad, seed), Model(bad, seed)
+        first, again = Model(bad_day, seed), Model(bad_day, seed)
         assert first.run() == again.run()
-        breaks = check(Outcome(bad, first.script, 0.0, first.lines))
+        breaks = check(Outcome(bad_day, first.script, 0.0, first.lines))
         assert not breaks, breaks[:2]
-    told = report(Outcome(bad, first.script, 0.0, first.lines), [])
-    assert told.service + sum(told.lost.values()) == pytest.approx(1.0, abs=1e-4)
-    assert 0.2 < told.service < bound(bad, first.script).service <= 1.0
-    assert Model(bad, 0, luck=1).run() != Model(bad, 0).run()
+    result = report(Outcome(bad_day, first.script, 0.0, first.lines), [])
+    assert result.service + sum(result.lost.values()) == pytest.approx(1.0, abs=1e-4)
+    assert 0.2 < result.service < bound(bad_day, first.script).service <= 1.0
+    assert Model(bad_day, 0, luck=1).run() != Model(bad_day, 0).run()
 
 
 @pytest.mark.parametrize(
@@ -154,27 +154,29 @@
     assert not check(Outcome(day, model.script, 0.0, model.lines))
 
 
-def test_viewers_give_up_as_the_formula_says(bad, monkeypatch):
-    day = bad._replace(troubles={}, clients=bad.clients.model_copy(update={"repeats": 0.0, "leaves": 0.0}))
-    looks, once = [], SimulatedViewer._gives_up
+def test_viewers_give_up_with_the_configured_probability(bad_day, monkeypatch):
+    day = bad_day._replace(
+        troubles={}, clients=bad_day.clients.model_copy(update={"repeats": 0.0, "leaves": 0.0})
+    )
+    checks, original = [], SimulatedViewer._gives_up
     monkeypatch.setattr(
-        SimulatedViewer, "_gives_up", lambda self, m: looks.append(once(self, m)) or looks[-1]
+        SimulatedViewer, "_gives_up", lambda self, m: checks.append(original(self, m)) or checks[-1]
     )
     for rate, part in ((0.0, 0.0), (0.3, 0.3)):
         model = Model(day, 1, profile={"leave_rate": rate, "leave_under": 2.0, "link": 1e6, "rack": 1e6})
-        looks.clear()
+        checks.clear()
         model.run()
-        gone = sum(what == "gave-up" for _, _, what, _ in model.lines)
-        # At a share of 1 and a limit of 2 a viewer leaves with 0.3 in each second that it is there.
-        assert gone == sum(looks) and len(looks) > 50
-        assert stats.binomtest(gone, len(looks), part).pvalue > 1e-4
+        gave_up = sum(what == "gave-up" for _, _, what, _ in model.lines)
+        # With a share of 1 and a limit of 2, a viewer leaves with a probability of 0.3 in each second.
+        assert gave_up == sum(checks) and len(checks) > 50
+        assert stats.binomtest(gave_up, len(checks), part).pvalue > 1e-4
 
 
-def test_the_models_front_reads_the_file_that_a_rehearsals_does(bad, tmp_path):
-    made = parse_site(controller_ini(bad, 1, 7, tmp_path), tmp_path / "x.ini")
-    model = Model(bad, 7)
+def test_model_and_rehearsal_use_the_same_controller_settings(bad_day, tmp_path):
+    site = parse_site(controller_ini(bad_day, 1, 7, tmp_path), tmp_path / "x.ini")
+    model = Model(bad_day, 7)
     model.run()
-    assert model.controllers[1].site.charter == made.charter and made.charter.me == 1
+    assert model.controllers[1].site.charter == site.charter and site.charter.me == 1
 
 
 def experiment(tmp_path, least=2, most=4, half=0.5, b="policy = random", text=None):
@@ -187,10 +189,10 @@
     return read_experiment(tmp_path / "x.ini")
 
 
-def test_results_are_the_same_for_one_worker_and_for_more_and_after_a_killed_worker(tmp_path):
-    made = experiment(tmp_path, least=4, half=0.5)
-    one, more = Store(tmp_path / "1"), Store(tmp_path / "2")
-    alone = runner.run(made, one, 1)
+def test_results_do_not_depend_on_the_number_of_workers_or_a_killed_worker(tmp_path):
+    plan_and_arms = experiment(tmp_path, least=4, half=0.5)
+    first_store, second_store = Store(tmp_path / "1"), Store(tmp_path / "2")
+    expected = runner.run(plan_and_arms, first_store, 1)
     killed = []
 
     def kill_one() -> None:
@@ -210,24 +212,29 @@
 
     killer = threading.Thread(target=kill_one)
     killer.start()
-    together = runner.run(made, more, 3)
+    parallel = runner.run(plan_and_arms, second_store, 3)
     killer.join()
-    assert killed and alone == together
-    ran = []
-    assert runner.run(made, one, 1, lambda done, of: ran.append(done)) == alone and not ran, "all was kept"
+    assert killed and expected == parallel
+    jobs_run = []
+    assert (
+        runner.run(plan_and_arms, first_store, 1, lambda done, of: jobs_run.append(done)) == expected
+        and not jobs_run
+    ), "all results were stored"
 
 
-def test_arms_that_differ_are_told_and_those_that_do_not_are_not(tmp_path):
+def test_difference_between_arms_is_found_only_where_there_is_one(tmp_path):
     def verdict(b):
-        made = experiment(tmp_path, least=6, most=6, b=b)
-        results = {arm.name: [run_job(arm, seed)["service"] for seed in range(1, 7)] for arm in made.arms}
+        plan_and_arms = experiment(tmp_path, least=6, most=6, b=b)
+        results = {
+            arm.name: [run_job(arm, seed)["service"] for seed in range(1, 7)] for arm in plan_and_arms.arms
+        }
         return compare.paired_difference(results["b"], results["a"], 0.95, 2)
 
     timid, same = verdict("set = MARK=0.1"), verdict("luck = 3")
     assert timid.differs and timid.mean < 0 and not same.differs and same.half > 0
 
 
-def test_intervals_cover_as_often_as_they_say():
+def test_intervals_cover_with_the_stated_confidence():
     draw = np.random.default_rng(5)
     hits = sum(
         not compare.paired_difference(list(draw.normal(0, 1, 12)), [0.0] * 12, 0.95, 2).differs
@@ -236,10 +243,10 @@
     assert 0.935 < hits / 2000 < 0.965
     hits = 0
     for _ in range(2000):
-        one, *others = draw.normal(3, 2, 9)
-        told = compare.prediction_interval(others, 0.95)
-        hits += told.low <= one <= told.high
-    assert 0.935 < hits / 2000 < 0.965, "one more play falls into the interval as often as it says"
+        next_run, *others = draw.normal(3, 2, 9)
+        result = compare.prediction_interval(others, 0.95)
+        hits += result.low <= next_run <= result.high
+    assert 0.935 < hits / 2000 < 0.965, "one more run falls into the interval with the stated confidence"
     wide = compare.paired_difference([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 4)
     assert wide.half > compare.paired_difference([1.0, 2.0, 4.0], [0.0] * 3, 0.95, 2).half
     plan = type("P", (), {"least": 4, "most": 20, "batch": 3, "confidence": 0.95, "half_width": 0.1})
@@ -254,14 +261,14 @@
     [("policy = magic", "policy = magic: allowed"), ("set = NOTHING=1", "no such value"),
      ("module = nowhere.py", "nowhere"), ("day = nowhere.ini", "nowhere"), ("colour = red", "colour")],
 )  # fmt: skip
-def test_a_bad_experiment_is_refused_with_its_reason(tmp_path, b, says):
+def test_invalid_experiment_is_rejected_with_its_reason(tmp_path, b, says):
     with pytest.raises(Faults, match=says):
         experiment(tmp_path, b=b)
 
 
-def test_the_store_is_its_own_and_keeps_apart_what_differs(tmp_path):
-    made = experiment(tmp_path)
-    a, b = made.arms
+def test_store_separates_results_of_different_arms_and_rejects_other_versions(tmp_path):
+    plan_and_arms = experiment(tmp_path)
+    a, b = plan_and_arms.arms
     assert a.digest() != b.digest() and a.digest() == a._replace(name="z").digest()
     store = Store(tmp_path / "s")
     store.put(a.digest(), 1, {"service": 0.5})
@@ -275,7 +282,7 @@
         Store(tmp_path / "s")
 
 
-def test_a_fit_finds_what_a_record_was_made_of(tmp_path, bad):
+def test_fit_recovers_the_parameters_of_a_record(tmp_path, bad_day):
     lines = []
 
     def recorded(number):
@@ -285,12 +292,12 @@
             front.host.recorder = Recorder(lines.append)
             front.host.recorder.start(0.0, 1, front.site.charter)
 
-    size = bad.settings.model_copy(update={"seconds": 60.0, "controllers": 1})
-    alone = bad.clients.model_copy(update={"returns": 0.0})
-    model = Model(bad._replace(troubles={}, settings=size, clients=alone), 4)
+    size = bad_day.settings.model_copy(update={"seconds": 60.0, "controllers": 1})
+    alone = bad_day.clients.model_copy(update={"returns": 0.0})
+    model = Model(bad_day._replace(troubles={}, settings=size, clients=alone), 4)
     start, model._start_controller = model._start_controller, recorded
     model.run()
-    found = fit_record(lines[:-1] + [lines[-1][:10]])  # cut in the middle of a line
+    found = fit_record(lines[:-1] + [lines[-1][:10]])  # the last line is truncated
     assert found.rate == pytest.approx(25, rel=0.15) and found.titles == 6
     assert found.popularity == pytest.approx(0.8, abs=4 * found.popularity_error + 0.15)
     set_up = next(q for q in found.quantities if q.name == "set-up")
@@ -306,31 +313,35 @@
         fit_record(lines[:2])
 
 
-def test_notes_that_are_lost_reach_no_controller(tmp_path):
+def test_lost_reports_reach_no_controller(tmp_path):
     text = DAY + "[trouble x]\nkind = notes_lost\nat = 0\nlasts = 3\npart = 1\nsize = %s\n"
-    told = {}
+    delivered = {}
     for share in ("1", "0"):
         (tmp_path / "day.ini").write_text(text % share)
         model = Model(read_day(tmp_path / "day.ini"), 2)
-        told[share] = []
-        for machine in model.streamers.values():
-            machine._report_delivered = lambda there=machine._report_delivered, notes=told[share]: (
-                notes.append(there()) or notes[-1]
+        delivered[share] = []
+        for streamer in model.streamers.values():
+            streamer._report_delivered = (
+                lambda original=streamer._report_delivered, outcomes=delivered[share]: (
+                    outcomes.append(original()) or outcomes[-1]
+                )
             )
         model.run()
-    assert told["0"] and all(told["0"])
-    first = told["1"].index(True)
-    assert first > 0 and all(told["1"][first:]), "none until the trouble ends, all from then on"
+    assert delivered["0"] and all(delivered["0"])
+    first = delivered["1"].index(True)
+    assert first > 0 and all(delivered["1"][first:]), (
+        "no report is delivered until the trouble ends, every one afterwards"
+    )
 
 
-def test_an_estimate_is_the_same_again_and_names_its_interval(tmp_path):
+def test_estimate_is_reproducible_and_includes_its_interval(tmp_path):
     (tmp_path / "day.ini").write_text(DAY)
-    asked = ["experiment", "estimate", str(tmp_path / "day.ini"), "--plays", "3", "--json", "--workers"]
-    one, two = (CliRunner().invoke(main, [*asked, workers]) for workers in ("1", "2"))
-    assert one.exit_code == 0 and one.output == two.output, one.output
-    told = json.loads(one.output)
-    assert told["low"] < told["mean"] < told["high"]
-    refused = CliRunner().invoke(main, [*asked, "1", "--policy", "magic"])
+    arguments = ["experiment", "estimate", str(tmp_path / "day.ini"), "--plays", "3", "--json", "--workers"]
+    first, second = (CliRunner().invoke(main, [*arguments, workers]) for workers in ("1", "2"))
+    assert first.exit_code == 0 and first.output == second.output, first.output
+    result = json.loads(first.output)
+    assert result["low"] < result["mean"] < result["high"]
+    refused = CliRunner().invoke(main, [*arguments, "1", "--policy", "magic"])
     assert refused.exit_code == 2 and "least-used" in refused.output
 
 
@@ -350,12 +361,12 @@
     )
     again = run.invoke(main, ["experiment", "resume", str(tmp_path / "x.ini"), "--workers", "1"])
     assert again.exit_code == 0 and first.output.splitlines()[-3:-1] == again.output.splitlines()[-2:]
-    told = run.invoke(main, ["experiment", "report", str(tmp_path / "x.ini"), str(tmp_path / "out2")])
-    assert told.exit_code == 0 and (tmp_path / "out2" / "report.html").exists()
+    result = run.invoke(main, ["experiment", "report", str(tmp_path / "x.ini"), str(tmp_path / "out2")])
+    assert result.exit_code == 0 and (tmp_path / "out2" / "report.html").exists()
 
 
-def test_a_bound_is_above_what_a_controller_gets_and_says_what_binds(bad):
-    day = bad._replace(troubles={})
+def test_bound_is_above_the_service_of_a_controller_and_names_the_limiting_constraint(bad_day):
+    day = bad_day._replace(troubles={})
     roomy = day._replace(
         streamer_settings=day.streamer_settings.model_copy(update={"link": 1e6, "rack": 1e6, "places": 500})
     )
