--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -146,7 +146,7 @@
 def rotation(near: Path, seconds: float = 20.0) -> None:
     b = Bench(near, token=3.0, rotate=2.0, ahead=1.0)
     dash = b.daemon.handler.dash
-    dash._renew = dash.load
+    dash._reload_keys_if_due = dash.load
     players = [b.player(f"p{i}") for i in range(40)]
     for p in players:
         p.join()
@@ -159,7 +159,7 @@
         "seconds": seconds, "keys made": 1 + int(seconds // 2), "players": len(players),
         "segments": sum(len(p.rungs) for p in players), "tokens refused": refused,
         "statuses not 200": sum(s != 200 for p in players for s in p.statuses),
-        "kids at the end": [key.kid for key in dash.keys.ring.keys],
+        "kids at the end": [key.kid for key in dash.keys.rotation.keys],
     }))  # fmt: skip
     b.close()
 
--- a/herongap/fleet/budget_rules.py
+++ b/herongap/fleet/budget_rules.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from herongap.accord.shares import divided
+from herongap.accord.shares import read_allocation
 from herongap.fleet.observations import CLOCK_SLACK_SECONDS, ObservedRun, ObservedTuneIn, Violation
 from herongap.ini.parts import WholeTerms
 
@@ -59,7 +59,9 @@
 
 def _budget_history(run: ObservedRun, name: str) -> list[tuple[float, int]]:
     """The values of the budget in the store, each with the time from which it applied."""
-    values = [(at, divided(value.encode()).whole) for at, n, value in run.budgets if n == name and value]
+    values = [
+        (at, read_allocation(value.encode()).limit) for at, n, value in run.budgets if n == name and value
+    ]
     return [values[i] for i in range(len(values)) if i == 0 or values[i][1] != values[i - 1][1]]
 
 
@@ -136,9 +138,9 @@
     for at, budget, value in run.budgets:
         if budget != name or value is None:
             continue
-        division = divided(value.encode())
-        total = sum(part.amount for part in division.parts.values())
+        allocation = read_allocation(value.encode())
+        total = sum(part.amount for part in allocation.allotments.values())
         # After the budget was lowered, the sum of the parts falls as sessions end.
-        if division.open and total > max(division.whole, previous_total):
-            yield run.violation(7, at, f"{name}: parts of {total}, whole {division.whole}")
+        if allocation.open and total > max(allocation.limit, previous_total):
+            yield run.violation(7, at, f"{name}: parts of {total}, whole {allocation.limit}")
         previous_total = total
--- a/herongap/gossip/__init__.py
+++ b/herongap/gossip/__init__.py
@@ -1,7 +1,20 @@
-"""Who lives, who hears whom, and how words spread. No I/O; it informs, and never grants a right."""
+"""Membership by gossip: which controllers are alive and which of them hear each other. No I/O.
 
-from herongap.gossip.book import Book, Standing
-from herongap.gossip.gossip import Gossip, Terms
-from herongap.gossip.words import Datagram, Unreadable, Word, read, write
+The result is advisory: it never grants a right.
+"""
 
-__all__ = ["Book", "Datagram", "Gossip", "Standing", "Terms", "Unreadable", "Word", "read", "write"]
+from herongap.gossip.gossip import Gossip, GossipConfig
+from herongap.gossip.members import MemberStatus, MemberTable
+from herongap.gossip.messages import Datagram, InvalidDatagram, MemberRecord, decode, encode
+
+__all__ = [
+    "Datagram",
+    "Gossip",
+    "GossipConfig",
+    "InvalidDatagram",
+    "MemberRecord",
+    "MemberStatus",
+    "MemberTable",
+    "decode",
+    "encode",
+]
