--- a/herongap/fleet/day.py
+++ b/herongap/fleet/day.py
@@ -160,10 +160,10 @@
         self.started: dict[str, float | None] = dict.fromkeys(names)
         self.hidden: set[str] = set()
 
-    def apply(self, order: dict, at: float) -> None:
+    def apply(self, command: dict, at: float) -> None:
         """Applies a command of a trouble step; `at` is the time of its event on the caller's clock."""
-        for name in order["on"]:
-            match order["standing"]:
+        for name in command["on"]:
+            match command["standing"]:
                 case "started":
                     self.statuses[name], self.started[name] = "active", at
                 case "none":
@@ -227,9 +227,9 @@
             by_name[kind][name] = part
     if not by_name["package"] and not errors:
         errors.append(f"{path}: [package NAME]: at least one package is needed")
-    for name, whole in by_name["budget"].items():
-        if whole.member:
-            errors.append(f"{path}: [budget {name}] member = {whole.member}: viewers of a day have none")
+    for name, terms in by_name["budget"].items():
+        if terms.member:
+            errors.append(f"{path}: [budget {name}] member = {terms.member}: viewers of a day have none")
         if sections.get("day", DaySettings()).list_by != "etcd":
             errors.append(f"{path}: [budget {name}]: needs [day] list_by = etcd")
     if errors:
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -107,10 +107,10 @@
     def follow(self) -> None:
         return None
 
-    def send_to_peer(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, message: bytes) -> None:
         return None
 
-    def request_budget(self, whole: str) -> None:
+    def request_budget(self, budget: str) -> None:
         """Fleet budgets are not modelled here; `fleet/settling.py` models them."""
 
     def wake(self, at: float) -> None:
@@ -134,6 +134,7 @@
         streamer.receive_tune_in(self, tune_in)
 
     def started(self, viewing: Id, number: int, streamer: str, session: Session, load: LoadReport) -> None:
+        """Handles the answer of a tune-in that set up a session."""
         if not self.running:
             return
         self.pending.pop((viewing, number), None)
@@ -142,19 +143,23 @@
             self.followed_streamers.add(streamer)
 
     def ended(self, viewing: Id, number: int, reason: EndReason, load: LoadReport | None = None) -> None:
+        """Handles the failure of a tune-in or the end of its session."""
         self.pending.pop((viewing, number), None)
         if self.running:
             self.host.ended(self.clock.now, viewing, number, reason, load)
 
     def torn_down(self, viewing: Id, number: int) -> None:
+        """Handles the confirmation of a teardown, or its timeout."""
         if self.running:
             self.host.torn_down(self.clock.now, viewing, number)
 
     def share_reported(self, streamer: str, share: float) -> None:
+        """Handles a report of the delivered share."""
         if self.running:
             self.host.share_told(self.clock.now, streamer, share)
 
     def load_reported(self, streamer: str, load: LoadReport) -> None:
+        """Handles a report of the load of a streamer and its uplink."""
         for uplink, ratio in ((False, load.link), (True, load.rack)):
             if self.running:
                 self.host.load_told(self.clock.now, streamer, uplink, None, ratio)
@@ -171,7 +176,7 @@
         target = self.model.streamers[streamer]
         reachable = target.running and not target.muted(self)
         if self.running:
-            how = (
+            reason = (
                 EndReason.PLAYED
                 if reachable
                 else EndReason.TIMED_OUT
@@ -181,7 +186,7 @@
             self.host.probed(
                 self.clock.now,
                 streamer,
-                how,
+                reason,
                 2 * STREAMER_DELAY_SECONDS,
                 target.machine.load_report() if reachable else None,
             )
@@ -263,6 +268,7 @@
         )
 
     def cancel_set_up(self, controller: SimulatedController, viewing: Id, number: int) -> None:
+        """Drops a pending set-up whose controller closed the connection."""
         if self.pending_set_ups.pop((controller.name, viewing, number), None):
             self.log("hung-up", identity=self.model.identities[controller.name, viewing])
 
@@ -271,12 +277,14 @@
             self.end_session(session, "viewer-gone")
 
     def change_rung(self, controller: SimulatedController, viewing: Id, number: int, rung: int) -> None:
+        """Handles a request to change the rung of a session."""
         session = controller.sessions.get((viewing, number))
         if session and session.name in self.machine.sessions and self.running and not self.muted(controller):
             self.log("rung", identity=session.identity, session=session.name, rung=rung)
             self.machine.change_rung(self.clock.now, session, rung)
 
     def delete_session(self, controller: SimulatedController, viewing: Id, number: int, wanted: bool) -> None:
+        """Handles a teardown; confirms it if `wanted`, or lets it time out if the streamer is unreachable."""
         session = controller.sessions.pop((viewing, number), None)
         if session and self.running and self.muted(controller) and session.name in self.machine.sessions:
             self.log("let-go", identity=session.identity, session=session.name)
@@ -289,6 +297,7 @@
             self.clock.after(delay, controller.torn_down, viewing, number)
 
     def end_session(self, session: Session, reason: str, notify: bool = True) -> None:
+        """Ends a session, and with `notify` tells its controller."""
         totals = self.machine.end_session(self.clock.now, session)
         if totals is None:
             return
@@ -298,12 +307,13 @@
         self.log("ended", identity=session.identity, session=session.name, reason=reason, **result)
         controller = self.model.controllers_by_name.get(session.front)
         if notify and controller and not self.muted(controller):
-            how = EndReason.PLAYED if reason == "viewer-gone" else EndReason.BROKEN
-            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, *session.resource, how)
+            end_reason = EndReason.PLAYED if reason == "viewer-gone" else EndReason.BROKEN
+            self.clock.after(STREAMER_DELAY_SECONDS, controller.ended, *session.resource, end_reason)
 
     # Process state and faults.
 
     def crash(self) -> None:
+        """Ends the process with all its sessions and pending set-ups."""
         if not self.running:
             return
         self.running = False
@@ -325,6 +335,7 @@
             controller.streamer_lost(self.name)
 
     def apply_command(self, command: dict) -> None:
+        """Begins or ends a fault, or starts or ends the process."""
         now = self.clock.now
         if command["do"] == "die":
             self.crash()
@@ -562,6 +573,7 @@
         self.held_most = self.held_sum = self.ticks = 0
 
     def log(self, source: str, event: str, **details) -> None:
+        """Records a log entry, and where sessions start."""
         if event == "started":
             self.streamer_of_session[details["session"], details["front"], details["identity"]] = source
         if self.keep_log:
@@ -584,6 +596,7 @@
         return self.lines
 
     def choose_controller(self, zone: int, random) -> SimulatedController | None:
+        """Draws a running controller, of the given zone if there is one."""
         running = [controller for controller in self.controllers.values() if controller]
         same_zone = [
             controller for controller in running if controller.number % self.day.settings.zones == zone
