--- a/herongap/daemon/recovery.py
+++ b/herongap/daemon/recovery.py
@@ -70,21 +70,21 @@
     def _settle(self, entry: JournalEntry) -> None:
         viewing, session = entry.request.viewing, self.port.sessions[entry.request.viewing]
         exists = self._exists(session)
-        kept = JournaledViewing(
+        journaled = JournaledViewing(
             viewing, entry.number, entry.streamer, entry.stage, entry.rung, self._value(entry)
         )
         found = {entry.streamer: [StreamerSession(viewing, entry.number, entry.rung)] if exists else []}
-        ((fate, _, _),) = reconcile([kept], found if exists is not None else {entry.streamer: None})
+        ((action, _, _),) = reconcile([journaled], found if exists is not None else {entry.streamer: None})
         adoptable = entry.protocol != "dash" and entry.request.package in self.service.packages
-        if fate is RecoveryAction.ADOPT and adoptable:
+        if action is RecoveryAction.ADOPT and adoptable:
             self._adopt(entry, session)
             return
-        if session.remote and fate in (RecoveryAction.ADOPT, RecoveryAction.END, RecoveryAction.WAIT):
+        if session.remote and action in (RecoveryAction.ADOPT, RecoveryAction.END, RecoveryAction.WAIT):
             # The streamer may have given no answer and still play it: it is torn down, because this
             # controller no longer controls it.
             self.port.remote_sessions[viewing, entry.number] = session.remote
             self.port.tear_down(viewing, entry.number, entry.streamer, False)
-        self._release(session, "gone" if fate is RecoveryAction.RELEASE else "ended")
+        self._release(session, "gone" if action is RecoveryAction.RELEASE else "ended")
 
     def _exists(self, session: Session) -> bool | None:
         if session.remote is None:
