--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -111,13 +111,13 @@
     and /dash/TITLE, without credentials. No media is sent: WHEP and WHIP are signalling only, and DASH
     segments contain a thousandth of the usual number of bytes, all of them zero.
     """
-    from herongap.standins import Farm, Kind, Streamer
+    from herongap.standins import Farm, MachineProfile, Streamer
     from herongap.standins.farm import Log
 
     observe.configure_logging(log_level, "console", "-")
     with tempfile.TemporaryDirectory(prefix="herongap-demo-") as name:
         folder = Path(name)
-        kind = Kind((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
+        kind = MachineProfile((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
         farm = Farm(kind, Log(lambda line: None), seed=1)
         simulated_streamers = [Streamer(farm, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
         entries = [
--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -23,7 +23,7 @@
 log = structlog.get_logger()
 
 
-class WrongKey(UnusableInputError):  # noqa: N818  # the class name is logged as the cause
+class WrongKey(UnusableInputError):  # noqa: N818  # the class name is logged as the cause  # noqa: N818  # the class name is logged as the cause
     """A file that does not hold the key that its name states."""
 
     advice = "remove the file, or put the key back that belongs under this name"
@@ -32,7 +32,7 @@
 class UnsafePermissionsError(HerongapError, OSError):
     """A folder or a key file that other users may read or write."""
 
-    advice = "take read and write from all others: chmod go-rwx"
+    advice = "remove the permissions of all other users: chmod go-rwx"
 
 
 class KeyStore:
