--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -26,7 +26,7 @@
 from herongap.http import Reply
 from herongap.ini import read_site
 from herongap.overload import ProcessLimits
-from herongap.standins import Farm, Streamer, Viewer
+from herongap.standins import Streamer, StreamerPool, Viewer
 from herongap.standins.farm import Log
 from herongap.standins.player import Player
 
@@ -55,8 +55,8 @@
     """One front and eight streamers that start everything at once."""
 
     def __init__(self, near: Path, token=60.0, rotate=1e6, ahead=10.0):
-        self.farm = Farm(KIND, Log(lambda line: None), seed=1)
-        self.streamers = [Streamer(self.farm, f"s{i}", "", f"r{i % 4}") for i in range(8)]
+        self.pool = StreamerPool(KIND, Log(lambda line: None), seed=1)
+        self.streamers = [Streamer(self.pool, f"s{i}", "", f"r{i % 4}") for i in range(8)]
         listed = [{"id": st.name, "url": "http://{}:{}".format(*st.address)} for st in self.streamers]
         (near / "streamers.json").write_text(json.dumps({"streamers": listed}))
         (near / "catalogue.json").write_text(
@@ -66,14 +66,14 @@
         self.daemon = Daemon(read_site(near / "front.ini"))
         self.daemon.start()
         for st in self.streamers:
-            st.segments.fronts, st.segments.segment = [self.daemon.address], 0.5
+            st.segments.controllers, st.segments.segment = [self.daemon.address], 0.5
 
     def player(self, name: str) -> Player:
         return Player(name, self.daemon.address, "/dash/1?package=web", lambda *a, **k: None)
 
     def close(self) -> None:
         self.daemon.kill()
-        self.farm.close()
+        self.pool.close()
 
 
 def paced(call, seconds: float = 2.0) -> float:
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -31,7 +31,7 @@
 from herongap.ini import read_site
 from herongap.ini.parts import Etcd as Terms
 from herongap.rehearsal.stage import PREFIX
-from herongap.standins import Farm, Streamer, Viewer
+from herongap.standins import Streamer, StreamerPool, Viewer
 from herongap.standins.etcd import Etcd, fill, put
 from herongap.standins.farm import Log
 
@@ -75,8 +75,8 @@
     lines, marks = [], []
     started = time.monotonic()
     etcd = Etcd(3, time.monotonic, lambda who, what, **d: marks.append((time.monotonic(), what, d)))
-    farm = Farm(common.KIND, Log(lambda line: lines.append(json.loads(line))), seed=1)
-    streamers = [Streamer(farm, f"s{i}", "", f"r{i % 4}") for i in range(16)]
+    pool = StreamerPool(common.KIND, Log(lambda line: lines.append(json.loads(line))), seed=1)
+    streamers = [Streamer(pool, f"s{i}", "", f"r{i % 4}") for i in range(16)]
     values = {st.name: {"url": "http://{}:{}".format(*st.address)} for st in streamers}
     fill(etcd.history, PREFIX, values)
     draw, busy = random.Random(1), [True]
@@ -105,7 +105,7 @@
             for i in range(cuts):
                 gevent.sleep(draw.uniform(0.5, 1.5) * count * 0.1 / cuts)
                 member = draw.choice(etcd.members)
-                member.cut_after = draw.choice([0, 0, draw.randrange(1, 4000)])
+                member.break_after_bytes = draw.choice([0, 0, draw.randrange(1, 4000)])
                 if i % 3:
                     etcd.cut()
                     continue
@@ -131,7 +131,7 @@
         gevent.sleep(2)
         daemon.kill()
     etcd.close()
-    farm.close()
+    pool.close()
     # Of each streamer in turn: when this front was first told of the drain that still stands.
     words = [(at, 0, what, d) for at, what, d in marks]
     words += [(at, 1, "post", {"streamer": who}) for at, who, what, _ in lines if what == "post"]
--- a/benchmarks/troubles.py
+++ b/benchmarks/troubles.py
@@ -20,7 +20,7 @@
 
 def one(path: str) -> dict:
     """One day, with seed 1."""
-    day = from_bench(json.loads(Path(path).read_text()), whole=True)
+    day = from_bench(json.loads(Path(path).read_text()), full_size=True)
     model, began = Model(day, 1), time.perf_counter()
     outcome = Outcome(day, model.script, 0.0, model.run())
     breaks = check(outcome)
--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -12,7 +12,7 @@
 import tomllib
 from pathlib import Path
 
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
 def merged(base: dict, change: dict) -> dict:
@@ -69,7 +69,7 @@
         base = Path(kit) / change["base"]
         into = Path(folder) / path.stem
         into.mkdir(parents=True, exist_ok=True)
-        for name in BESIDE:
+        for name in COMPANION_FILES:
             shutil.copyfile(base.parent / name, into / name)
         (into / path.name).write_text(text(laid(change, tomllib.loads(base.read_text()))))
         print(into / path.name)
--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -110,15 +110,15 @@
     /whip/TITLE and /dash/TITLE, without credentials. No media flows: WHEP and WHIP are signalling alone, DASH
     segments are a thousandth of the bytes that they would be, and all zero.
     """
-    from herongap.standins import Farm, Kind, Streamer
+    from herongap.standins import Kind, Streamer, StreamerPool
     from herongap.standins.farm import Log
 
     observe.set_up(log_level, "console", "-")
     with tempfile.TemporaryDirectory(prefix="herongap-demo-") as folder:
         near = Path(folder)
         kind = Kind((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
-        farm = Farm(kind, Log(lambda line: None), seed=1)
-        all_of_them = [Streamer(farm, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
+        pool = StreamerPool(kind, Log(lambda line: None), seed=1)
+        all_of_them = [Streamer(pool, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
         lines = [
             {"id": st.name, "url": "http://{}:{}".format(*st.address), "zone": "a", "rack": f"rack{i % 2}"}
             for i, st in enumerate(all_of_them)
@@ -136,6 +136,6 @@
         except OSError as fault:
             raise refused(fault, "cannot start: ") from fault
         for st in all_of_them:
-            st.segments.fronts = [daemon.address]
+            st.segments.controllers = [daemon.address]
         run_until_signal(daemon)
-        farm.close()
+        pool.close()
--- a/herongap/rehearsal/__init__.py
+++ b/herongap/rehearsal/__init__.py
@@ -3,7 +3,7 @@
 The checker (`herongap.fleet.checker`) reads only what the stand-in streamers and the clients saw.
 """
 
-from herongap.rehearsal.bench import Unplayable, from_bench
+from herongap.rehearsal.bench import UnsupportedTroubleError, from_bench
 from herongap.rehearsal.stage import play
 
-__all__ = ["Unplayable", "from_bench", "play"]
+__all__ = ["UnsupportedTroubleError", "from_bench", "play"]
--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -38,36 +38,38 @@
 NO_MATTER = {"peer_down"}
 
 
-class Undrawn(Unusable):
+class InvalidBenchDayError(Unusable):
     """A file that is no drawn day of this family."""
 
     advice = "give a day as the bench writes it"
 
 
-class Unplayable(Unusable):
+class UnsupportedTroubleError(Unusable):
     """A day with a kind of trouble that sockets cannot play here; it is named, never skipped."""
 
     advice = "leave that trouble out, or play the day in the model"
 
 
-def from_bench(drawn: dict, whole: bool = False) -> Day:
-    """The day of a file that the bench's draw wrote, cut to what sockets bear, or `whole` for the model.
+def from_bench(drawn: dict, full_size: bool = False) -> Day:
+    """The day of a file that the bench's draw wrote, cut to what sockets bear, or `full_size` for the model.
 
-    Raises Unplayable or ValueError.
+    Raises UnsupportedTroubleError or ValueError.
     """
     try:
-        return _day(drawn, whole)
+        return _day(drawn, full_size)
     except (KeyError, TypeError, IndexError) as fault:
-        raise Undrawn(f"not a drawn day of the streams family: {fault!r}") from fault
+        raise InvalidBenchDayError(f"not a drawn day of the streams family: {fault!r}") from fault
 
 
-def _day(drawn: dict, whole: bool) -> Day:
+def _day(drawn: dict, full_size: bool) -> Day:
     fam, tier = drawn["fam"], drawn["tiers"][0]
     unknown = sorted({t["kind"] for t in drawn["troubles"]} - KINDS.keys() - NO_MATTER)
     if unknown:
-        raise Unplayable(f"no way to play {', '.join(unknown)}; known are {', '.join(sorted(KINDS))}")
+        raise UnsupportedTroubleError(
+            f"no way to play {', '.join(unknown)}; known are {', '.join(sorted(KINDS))}"
+        )
     streamers, controllers = len(drawn["servers"]), len(drawn["balancers"])
-    if not whole:
+    if not full_size:
         streamers, controllers = min(STREAMERS, streamers), min(CONTROLLERS, controllers)
     seconds, rates = drawn["length"] / 1e6, [float(r) for r in fam["rates"]]
     kind = tier["kinds"][0]
@@ -80,10 +82,10 @@
     # them at the middle rate. For a place, set-ups then come faster than drawn; in the model, which bears
     # more streamers, sessions stay long beside a warm-up, in which a cold streamer takes its places once.
     filled = load * streamers * link / middle
-    length = LONG * warm if whole else max(1.0, filled / RATE)
+    length = LONG * warm if full_size else max(1.0, filled / RATE)
     size = Size(
         seconds=seconds,
-        rate=filled / length if whole else RATE,
+        rate=filled / length if full_size else RATE,
         controllers=controllers,
         streamers=streamers,
         zones=len(drawn["zones"]),
@@ -110,7 +112,7 @@
         cold_start=kind["cold_from"],
         fall_multiple=drawn["fall_multiple"],
         tip_after=drawn["fall_for"] / 1e6,
-        slack=SLACK if whole else 0.0,
+        slack=SLACK if full_size else 0.0,
         told_late=fam["see"] / 1e6,
         tell=max(0.5, fam["tell"] / 1e6),
     )
--- a/herongap/rehearsal/datagrams.py
+++ b/herongap/rehearsal/datagrams.py
@@ -17,26 +17,26 @@
 Pair = tuple[int, int]
 
 
-class Way(NamedTuple):
+class LinkFaults(NamedTuple):
     """How datagrams of one pair fare: shares that are lost and doubled; seconds of delay, least and most."""
 
-    lost: float = 0.0
-    doubled: float = 0.0
-    late: tuple[float, float] = (0.0, 0.0)
+    loss: float = 0.0
+    duplication: float = 0.0
+    delay: tuple[float, float] = (0.0, 0.0)
 
 
-class Datagrams:
+class DatagramRelay:
     """The relays of a fleet of that name. `ways` holds what is not sound, by (from, to); `seen` counts."""
 
     def __init__(self, fleet: str, seed: int):
         self.fleet, self.draw = fleet, Random(seed)
-        self.ways: dict[Pair, Way] = {}
-        self.seen: Counter = Counter()
+        self.faults: dict[Pair, LinkFaults] = {}
+        self.counts: Counter = Counter()
         self.sockets: dict[int, socket.socket] = {}
         self.real: dict[int, tuple[str, int]] = {}
         self._greenlets: list = []
 
-    def before(self, number: int, real: tuple[str, int]) -> tuple[str, int]:
+    def add(self, number: int, real: tuple[str, int]) -> tuple[str, int]:
         """A relay before the controller that listens at `real`; the address to be advertised."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
@@ -44,19 +44,19 @@
         self._greenlets.append(gevent.spawn(self._carry, number))
         return sock.getsockname()
 
-    def set(self, way: Way, pairs: Iterable[Pair]) -> None:
+    def set_faults(self, faults: LinkFaults, pairs: Iterable[Pair]) -> None:
         """From now on, these pairs fare so."""
-        self.ways |= dict.fromkeys(pairs, way)
+        self.faults |= dict.fromkeys(pairs, faults)
 
     def cut(self, pairs: Iterable[Pair]) -> None:
         """Nothing gets through from the first to the second of each pair."""
-        self.set(Way(lost=1.0), pairs)
+        self.set_faults(LinkFaults(loss=1.0), pairs)
 
-    def sound(self) -> None:
+    def clear_faults(self) -> None:
         """All is well again."""
-        self.ways.clear()
+        self.faults.clear()
 
-    def apart(self, one: Iterable[int]) -> list[Pair]:
+    def pairs_between(self, one: Iterable[int]) -> list[Pair]:
         """All pairs, both ways, between these controllers and the others."""
         one = set(one)
         return [(a, b) for a in self.sockets for b in self.sockets if (a in one) != (b in one)]
@@ -72,17 +72,17 @@
             except OSError:
                 return
             try:
-                way = self.ways.get((decode(data, self.fleet).sender, number), Way())
+                faults = self.faults.get((decode(data, self.fleet).sender, number), LinkFaults())
             except InvalidDatagram:
-                way = Way()  # noise is carried as it is
-            if self.draw.random() < way.lost:
-                self.seen["lost"] += 1
+                faults = LinkFaults()  # noise is carried as it is
+            if self.draw.random() < faults.loss:
+                self.counts["lost"] += 1
                 continue
-            times = 1 + (self.draw.random() < way.doubled)
-            self.seen["doubled"] += times - 1
+            times = 1 + (self.draw.random() < faults.duplication)
+            self.counts["doubled"] += times - 1
             for _ in range(times):
-                wait = self.draw.uniform(*way.late)
-                self.seen["late" if wait else "passed"] += 1
+                wait = self.draw.uniform(*faults.delay)
+                self.counts["late" if wait else "passed"] += 1
                 if wait:
                     gevent.spawn_later(wait, self._pass, number, data)
                 else:
@@ -92,7 +92,7 @@
         try:
             self.sockets[number].sendto(data, self.real[number])
         except OSError:
-            self.seen["nobody"] += 1
+            self.counts["nobody"] += 1
 
     def close(self) -> None:
         for greenlet in self._greenlets:
--- a/herongap/rehearsal/errors.py
+++ b/herongap/rehearsal/errors.py
@@ -3,7 +3,7 @@
 from herongap.errors import HerongapError
 
 
-class NoStage(HerongapError):
+class RehearsalError(HerongapError):
     """A rehearsal that cannot be played."""
 
     advice = "see the log in its folder, and the day file"
--- a/herongap/rehearsal/farm.py
+++ b/herongap/rehearsal/farm.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent.fileobject import FileObject
 
-from herongap.standins import Farm, Kind, Streamer
+from herongap.standins import Kind, Streamer, StreamerPool
 from herongap.standins.farm import Log
 
 
@@ -16,14 +16,14 @@
         what = json.load(text)
     kind = what["kind"]
     with open(what["log"], "w", encoding="utf-8", buffering=1 << 16) as log:
-        farm = Farm(Kind(**kind), Log(log.write), what["seed"])
+        pool = StreamerPool(Kind(**kind), Log(log.write), what["seed"])
         for name, zone, rack in what["streamers"]:
-            Streamer(farm, name, zone, rack)
-        print(json.dumps({name: st.address for name, st in farm.streamers.items()}), flush=True)
+            Streamer(pool, name, zone, rack)
+        print(json.dumps({name: st.address for name, st in pool.streamers.items()}), flush=True)
         for line in FileObject(sys.stdin.buffer, "rb"):
-            farm.command(json.loads(line))
+            pool.carry_out(json.loads(line))
         gevent.sleep(0.2)
-        farm.close()
+        pool.close()
 
 
 if __name__ == "__main__":
--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -29,7 +29,7 @@
     zone_of,
 )
 from herongap.fleet.figures import Outcome
-from herongap.rehearsal.errors import NoStage
+from herongap.rehearsal.errors import RehearsalError
 from herongap.rehearsal.relay import Relay
 from herongap.standins.etcd import Etcd, fill, put
 from herongap.standins.farm import Log
@@ -47,11 +47,11 @@
 
     def __init__(self, day: Day, folder: Path, seed: int, policy: str):
         self.day, self.folder, self.seed, self.policy = day, folder, seed, policy
-        self.farm: green.Popen | None = None
-        self.fronts: dict[int, green.Popen] = {}
+        self.streamers: green.Popen | None = None
+        self.controllers: dict[int, green.Popen] = {}
         self.leaving: list[green.Popen] = []
 
-    def start_farm(self) -> dict[str, Address]:
+    def start_streamers(self) -> dict[str, Address]:
         """Start the streamers; their addresses."""
         what = {
             "kind": farm_kind(self.day),
@@ -62,17 +62,19 @@
             ],
         }
         (self.folder / "farm.json").write_text(json.dumps(what))
-        self.farm = green.Popen(
+        self.streamers = green.Popen(
             [sys.executable, "-m", "herongap.rehearsal.farm", str(self.folder / "farm.json")],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
-        return {name: tuple(address) for name, address in json.loads(self.farm.stdout.readline()).items()}
+        return {
+            name: tuple(address) for name, address in json.loads(self.streamers.stdout.readline()).items()
+        }
 
     def order(self, what: dict) -> None:
-        self.farm.stdin.write(json.dumps(what) + "\n")
-        self.farm.stdin.flush()
+        self.streamers.stdin.write(json.dumps(what) + "\n")
+        self.streamers.stdin.flush()
 
-    def start_front(self, number: int, file: Path) -> Address:
+    def start_controller(self, number: int, file: Path) -> Address:
         """Start a controller; the address that it listens on."""
         front = green.Popen(
             [*self.controller, str(file), self.policy],
@@ -80,41 +82,41 @@
         )  # fmt: skip
         line = front.stdout.readline()
         if not line.startswith("listening "):
-            raise NoStage(f"controller {number} did not start")
-        self.fronts[number] = front
+            raise RehearsalError(f"controller {number} did not start")
+        self.controllers[number] = front
         host, _, port = line.strip().rpartition("/")[2].rpartition(":")
         return host, int(port)
 
-    def kill_front(self, number: int) -> None:
-        self.fronts.pop(number).kill()
+    def kill_controller(self, number: int) -> None:
+        self.controllers.pop(number).kill()
 
-    def signal_front(self, number: int, what: int) -> None:
+    def signal_controller(self, number: int, what: int) -> None:
         """SIGSTOP or SIGCONT; or SIGTERM, after which it is on its own."""
-        front = self.fronts[number]
+        front = self.controllers[number]
         front.send_signal(what)
         if what == signal.SIGTERM:
-            self.leaving.append(self.fronts.pop(number))
+            self.leaving.append(self.controllers.pop(number))
 
     def set_clock(self, number: int, what: dict) -> None:
-        front = self.fronts[number]
+        front = self.controllers[number]
         front.stdin.write(json.dumps(what) + "\n")
         front.stdin.flush()
 
     def stop(self) -> None:
-        for front in self.fronts.values():
+        for front in self.controllers.values():
             front.send_signal(signal.SIGCONT)
             front.send_signal(signal.SIGTERM)
-        for front in (*self.fronts.values(), *self.leaving):
+        for front in (*self.controllers.values(), *self.leaving):
             try:
                 front.wait(timeout=20)
             except subprocess.TimeoutExpired:
                 front.kill()
-        if self.farm:
-            self.farm.stdin.close()
-            self.farm.wait(timeout=10)
+        if self.streamers:
+            self.streamers.stdin.close()
+            self.streamers.wait(timeout=10)
 
 
-class Stage:
+class Rehearsal:
     """One rehearsal under way."""
 
     def __init__(self, day: Day, folder: Path, seed: int, actors: Actors):
@@ -127,7 +129,7 @@
         self.etcd: Etcd | None = None
         self.relays: dict[tuple[int, int], Relay] = {}
         self.paused: set[int] = set()
-        self.fronts: dict[int, Address | None] = {}
+        self.controllers: dict[int, Address | None] = {}
         self.log_file = open(folder / "clients.jsonl", "w", encoding="utf-8")  # noqa: SIM115
         self.log = Log(self.log_file.write)
         self.wall = time.time() - time.monotonic()
@@ -135,7 +137,7 @@
     def play(self) -> Outcome:
         """Play the whole day; returns when the last viewer is done and all processes have ended."""
         try:
-            for i, (name, address) in enumerate(self.actors.start_farm().items()):
+            for i, (name, address) in enumerate(self.actors.start_streamers().items()):
                 self.places[name] = {
                     "id": name, "url": f"http://{address[0]}:{address[1]}", "zone": zone_of(i, self.day),
                     "rack": rack_of(i, self.day),
@@ -153,7 +155,7 @@
                 self._write_list()
             for number in range(self.day.size.controllers):
                 if number not in self.day.latecomers:
-                    self._start_front(number)
+                    self._start_controller(number)
             self.began = time.monotonic()
             playing = [gevent.spawn(self._follow_orders)]
             for arrival in self.script.arrivals:
@@ -191,47 +193,47 @@
             now = time.monotonic()
             gevent.spawn_later(self.late, self._relist, order.what, now)
         elif order.to == "etcd":
-            self._trouble_etcd(order.what)
+            self._disturb_etcd(order.what)
         elif order.to == "relays":
-            self._trouble_relays(order.what)
+            self._disturb_relays(order.what)
         elif order.to == "members":
-            self._trouble_members(order.what)
+            self._disturb_members(order.what)
         else:
             for number in order.what["on"]:
-                self._trouble_front(number, order.what)
+                self._disturb_controller(number, order.what)
 
-    def _trouble_front(self, number: int, what: dict) -> None:
-        there = self.fronts.get(number)
+    def _disturb_controller(self, number: int, what: dict) -> None:
+        there = self.controllers.get(number)
         if what["do"] == "start":
             if not there:
-                self._start_front(number)
+                self._start_controller(number)
             return
         if not there:
             return  # another trouble has taken it away
         match what["do"]:
             case "kill":
                 self.log("stage", "killed", front=number)
-                self.fronts[number] = None
+                self.controllers[number] = None
                 self.paused.discard(number)
-                self.actors.kill_front(number)
+                self.actors.kill_controller(number)
             case "leave":
                 # Viewers are sent elsewhere from now on; those that it has it answers.
                 self.log("stage", "left", front=number)
-                self.fronts[number] = None
-                self.actors.signal_front(number, signal.SIGTERM)
+                self.controllers[number] = None
+                self.actors.signal_controller(number, signal.SIGTERM)
             case "pause":
                 self.log("stage", "paused", front=number)
                 self.paused.add(number)
-                self.actors.signal_front(number, signal.SIGSTOP)
+                self.actors.signal_controller(number, signal.SIGSTOP)
             case "go on":
                 if number in self.paused:
                     self.paused.discard(number)
-                    self.actors.signal_front(number, signal.SIGCONT)
+                    self.actors.signal_controller(number, signal.SIGCONT)
                     self.log("stage", "went on", front=number)
             case "clock":
                 self.actors.set_clock(number, {k: v for k, v in what.items() if k in ("rate", "step")})
 
-    def _trouble_relays(self, what: dict) -> None:
+    def _disturb_relays(self, what: dict) -> None:
         for (number, _), relay in self.relays.items():
             if number in what["on"]:
                 if what["do"] == "begin":
@@ -239,13 +241,13 @@
                 else:
                     relay.end(what["trouble"])
 
-    def _trouble_members(self, what: dict) -> None:
+    def _disturb_members(self, what: dict) -> None:
         if what["do"] == "elect":
             self.etcd.elect(what["by"])
             return
         for member in (self.etcd.members[number] for number in what["on"]):
             if what["trouble"] == "minority":
-                member.part(what["do"] == "begin")
+                member.partition(what["do"] == "begin")
             else:
                 (member.stop if what["do"] == "begin" else member.start)()
 
@@ -281,9 +283,9 @@
                     put(history, streamer, v=1, **self._value(name))
         self._log_list()
 
-    def _trouble_etcd(self, what: dict) -> None:
+    def _disturb_etcd(self, what: dict) -> None:
         if self.etcd is None:
-            raise NoStage("a trouble of etcd needs list_by = etcd")
+            raise RehearsalError("a trouble of etcd needs list_by = etcd")
         match what["do"]:
             case "cut":
                 if what["compact"]:
@@ -318,15 +320,15 @@
         os.replace(new, self.folder / "streamers.json")
         self._log_list()
 
-    def _start_front(self, number: int) -> None:
+    def _start_controller(self, number: int) -> None:
         file = self.folder / f"controller-{number}.ini"
         members = self._members(number) if self.etcd else None
         file.write_text(front_ini(self.day, number, self.seed, self.folder, members))
-        self.fronts[number] = self.actors.start_front(number, file)
-        self.log("stage", "front", number=number, address=list(self.fronts[number]))
+        self.controllers[number] = self.actors.start_controller(number, file)
+        self.log("stage", "front", number=number, address=list(self.controllers[number]))
         # Where streamers have the keys of tokens.
         self.actors.order(
-            {"do": "fronts", "at": [list(address) for address in self.fronts.values() if address]}
+            {"do": "fronts", "at": [list(address) for address in self.controllers.values() if address]}
         )
 
     def _members(self, number: int) -> list[str]:
@@ -417,9 +419,9 @@
         """A controller that listens, its own zone's for choice: what a balancer before the controllers
         does.
         """
-        up = [n for n, address in self.fronts.items() if address]
+        up = [n for n, address in self.controllers.items() if address]
         near = [n for n in up if n % self.day.size.zones == arrival.zone]
-        return self.fronts[draw.choice(near or up)] if up else None
+        return self.controllers[draw.choice(near or up)] if up else None
 
     def _ask(self, viewer: Viewer, arrival: Arrival, draw: random.Random):
         patience = self.day.packages[arrival.package].patience
@@ -460,4 +462,4 @@
 ) -> Outcome:
     """Play one day in `folder`; see `policies` of `herongap.fleet.baselines` for what may decide it."""
     folder.mkdir(parents=True, exist_ok=True)
-    return Stage(day, folder, seed, (actors or Actors)(day, folder, seed, policy)).play()
+    return Rehearsal(day, folder, seed, (actors or Actors)(day, folder, seed, policy)).play()
--- a/herongap/standins/__init__.py
+++ b/herongap/standins/__init__.py
@@ -3,8 +3,8 @@
 """
 
 from herongap.fleet.machine import Kind
-from herongap.standins.farm import Farm
+from herongap.standins.farm import StreamerPool
 from herongap.standins.streamer import Streamer
-from herongap.standins.viewer import Tried, Viewer
+from herongap.standins.viewer import AttemptResult, Viewer
 
-__all__ = ["Farm", "Kind", "Streamer", "Tried", "Viewer"]
+__all__ = ["StreamerPool", "Kind", "Streamer", "AttemptResult", "Viewer"]
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -1,8 +1,9 @@
-"""A stand-in etcd: one history, members that serve it over the JSON gateway, and faults set while it runs.
+"""A fake etcd cluster: members that serve one shared history over the JSON gateway, with fault injection.
 
 Written from etcd's published API (reference, KV guarantees, the JSON of grpc-gateway): revisions, history
-and compaction, leases with expiry, transactions that compare revisions, watches with progress and fragments,
-tokens. Not here: consensus. The members share one history; one that lags shows it as it was.
+and compaction, leases with expiry, transactions that compare revisions, watches with progress notifications
+and fragments, auth tokens. There is no consensus: the members share one history, and a lagging member serves
+an earlier revision of it.
 """
 
 import base64
@@ -22,29 +23,30 @@
 from herongap.overload import ProcessLimits
 from herongap.standins.errors import BadBase64
 
-FRAGMENT = 64  # events of one message; etcd cuts at 1.5 MB
-ROOM = 128  # revisions that one message carries at most
-BOUNDS = ProcessLimits(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
+FRAGMENT_EVENTS = 64  # events in one fragment; etcd fragments at 1.5 MB
+MAX_MESSAGE_REVISIONS = 128
+BIND_ATTEMPTS = 100
+LIMITS = ProcessLimits(idle_seconds=600.0, body=1 << 20, write_seconds=10.0)
 
 
 class History:
-    """All that was ever put, at its revisions, and the leases; no I/O, times are the caller's."""
+    """Every key at every revision, and the leases. Does no I/O; the caller passes the time."""
 
     def __init__(self):
         self.revision, self.compacted, self.cluster = 1, 0, 0xC1
-        self.events: list[tuple[int, bytes, dict | None]] = []  # (revision, key, what it is then)
-        self.now_at: dict[bytes, dict] = {}
+        self.events: list[tuple[int, bytes, dict | None]] = []  # (revision, key, value or None if deleted)
+        self.current: dict[bytes, dict] = {}
         self.versions: dict[bytes, list[tuple[int, dict | None]]] = {}
         self.leases: dict[int, tuple[float, float]] = {}
-        self.of_lease: dict[int, set[bytes]] = {}
+        self.keys_by_lease: dict[int, set[bytes]] = {}
         self.changed = Event()
-        self.noted: Callable[[bytes, dict | None], None] = lambda key, value: None
-        self._count = 0
+        self.on_change: Callable[[bytes, dict | None], None] = lambda key, value: None
+        self._last_lease = 0
 
     def put(self, key: bytes, value: bytes, lease: int = 0) -> None:
-        old = self.now_at.get(key)
+        old = self.current.get(key)
         self.revision += 1
-        self._note(
+        self._record(
             key,
             {
                 "value": value, "lease": lease, "mod": self.revision,
@@ -54,60 +56,62 @@
         )  # fmt: skip
 
     def delete(self, *keys: bytes) -> int:
-        """All in one revision, as a transaction or a lease's end does."""
-        there = [key for key in keys if key in self.now_at]
-        if there:
+        """Deletes the keys in one revision, as a transaction or an expired lease does; returns how many existed."""
+        existing = [key for key in keys if key in self.current]
+        if existing:
             self.revision += 1
-            for key in there:
-                self._note(key, None)
-        return len(there)
+            for key in existing:
+                self._record(key, None)
+        return len(existing)
 
-    def _note(self, key: bytes, value: dict | None) -> None:
-        for kept in self.of_lease.values():
-            kept.discard(key)
+    def _record(self, key: bytes, value: dict | None) -> None:
+        for keys in self.keys_by_lease.values():
+            keys.discard(key)
         if value is None:
-            self.now_at.pop(key, None)
+            self.current.pop(key, None)
         else:
-            self.now_at[key] = value
+            self.current[key] = value
             if value["lease"]:
-                self.of_lease.setdefault(value["lease"], set()).add(key)
+                self.keys_by_lease.setdefault(value["lease"], set()).add(key)
         self.events.append((self.revision, key, value))
         self.versions.setdefault(key, []).append((self.revision, value))
-        self.noted(key, value)
+        self.on_change(key, value)
         changed, self.changed = self.changed, Event()
         changed.set()
 
     def compact(self, revision: int | None = None) -> None:
+        """Discards the events up to a revision, by default the latest."""
         self.compacted = min(self.revision, revision or self.revision)
         cut = bisect_right(self.events, self.compacted, key=lambda event: event[0])
         del self.events[:cut]
 
     def at(self, revision: int, first: bytes, end: bytes) -> list[tuple[bytes, dict]]:
-        """The keys of a range as they were."""
+        """Returns the keys of a range as they were at a revision, sorted."""
         if revision == self.revision:
-            there = self.now_at.items()
+            entries = self.current.items()
         else:
-            there = [
-                (key, past[i - 1][1])
-                for key, past in self.versions.items()
-                if (i := bisect_right(past, revision, key=lambda v: v[0]))
+            entries = [
+                (key, versions[i - 1][1])
+                for key, versions in self.versions.items()
+                if (i := bisect_right(versions, revision, key=lambda v: v[0]))
             ]
-        return sorted((k, v) for k, v in there if v and _inside(k, first, end))
+        return sorted((k, v) for k, v in entries if v and _inside(k, first, end))
 
     def since(self, revision: int, until: int) -> list[tuple[int, bytes, dict | None]]:
-        """Events of revisions from one to another, both with."""
+        """Returns the events of a range of revisions, both ends included."""
         low = bisect_right(self.events, revision - 1, key=lambda event: event[0])
         return self.events[low : bisect_right(self.events, until, key=lambda event: event[0])]
 
     # Leases.
 
     def grant(self, now: float, ttl: float) -> int:
-        self._count += 1
-        self.leases[self._count] = now + ttl, ttl
-        return self._count
+        """Grants a lease and returns its ID."""
+        self._last_lease += 1
+        self.leases[self._last_lease] = now + ttl, ttl
+        return self._last_lease
 
-    def keep(self, now: float, lease: int) -> float:
-        """The seconds that it has again, 0 where there is none."""
+    def keep_alive(self, now: float, lease: int) -> float:
+        """Renews a lease and returns its TTL in seconds, 0 if the lease does not exist."""
         if lease not in self.leases:
             return 0.0
         ttl = self.leases[lease][1]
@@ -115,11 +119,13 @@
         return ttl
 
     def revoke(self, lease: int) -> None:
+        """Ends a lease and deletes its keys."""
         if self.leases.pop(lease, None):
-            self.delete(*self.of_lease.pop(lease, set()))
+            self.delete(*self.keys_by_lease.pop(lease, set()))
 
     def expire(self, now: float) -> None:
-        for lease in [lease for lease, (until, _) in self.leases.items() if until <= now]:
+        """Revokes the leases that have expired."""
+        for lease in [lease for lease, (expiry, _) in self.leases.items() if expiry <= now]:
             self.revoke(lease)
 
 
@@ -130,269 +136,283 @@
 class Etcd:
     """A cluster of members on loopback.
 
-    `log(who, what, **details)` gets a line for each drain, and for each time that a peer is told of it, with
-    its User-Agent.
+    `log(who, what, **details)` gets an entry for each drain, and for each time that a client receives that
+    drain, with the client's User-Agent.
     """
 
     def __init__(self, members: int, clock: Callable[[], float], log: Callable = lambda *_, **__: None):
         self.history, self.clock, self.log = History(), clock, log
-        self.progress, self.users, self.tokens = 5.0, {}, {}
-        self.electing, self.random = float("-inf"), random.Random(members)
-        self.history.noted = self._noted
+        self.progress_interval_seconds, self.users, self.tokens = 5.0, {}, {}
+        self.election_ends, self.random = float("-inf"), random.Random(members)
+        self.history.on_change = self._log_change
         self.members = [Member(self, i) for i in range(members)]
-        self._expiring = gevent.spawn(self._expire)
+        self._expiry_greenlet = gevent.spawn(self._expire_leases)
 
     @property
     def addresses(self) -> list[str]:
         return ["{}:{}".format(*member.address) for member in self.members]
 
     def elect(self, seconds: float) -> None:
-        """A new leader is chosen for so long: of the writes meanwhile some are taken and none acknowledged.
-        The new leader gives every lease its whole time again.
+        """Holds a leader election for that long. Some of the writes during it are applied, none is acknowledged.
+        The new leader extends every lease by its full TTL.
         """
-        self.electing = self.clock() + seconds
+        self.election_ends = self.clock() + seconds
 
-        def elected() -> None:
+        def extend_leases() -> None:
             for lease in list(self.history.leases):
-                self.history.keep(self.clock(), lease)
+                self.history.keep_alive(self.clock(), lease)
 
-        gevent.spawn_later(seconds, elected)
+        gevent.spawn_later(seconds, extend_leases)
 
-    def _noted(self, key: bytes, value: dict | None) -> None:
-        *_, sort, name = [b"", b"", *key.split(b"/")]
-        if sort in (b"budgets", b"controllers"):
-            told = None if value is None else value["value"].decode("utf-8", "replace")
-            self.log("etcd", sort.decode(), name=name.decode(), revision=self.history.revision, value=told)
-        if said := standing(key, value is not None):
-            self.log("etcd", "drain", streamer=said[0], drained=said[1])
+    def _log_change(self, key: bytes, value: dict | None) -> None:
+        *_, kind, name = [b"", b"", *key.split(b"/")]
+        if kind in (b"budgets", b"controllers"):
+            text = None if value is None else value["value"].decode("utf-8", "replace")
+            self.log("etcd", kind.decode(), name=name.decode(), revision=self.history.revision, value=text)
+        if state := drain_state(key, value is not None):
+            self.log("etcd", "drain", streamer=state[0], drained=state[1])
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         while True:
             gevent.sleep(0.1)
-            if self.clock() >= self.electing:
+            if self.clock() >= self.election_ends:
                 self.history.expire(self.clock())
 
     def cut(self) -> None:
-        """Break every stream."""
+        """Breaks every watch stream of every member."""
         for member in self.members:
             member.cut()
 
     def close(self) -> None:
-        self._expiring.kill(block=False)
+        self._expiry_greenlet.kill(block=False)
         for member in self.members:
             member.stop()
 
 
 class Member:
-    """One member. Faults: `lag` seconds behind, `stuck` at a revision, `slow` seconds for each answer,
-    `hold` seconds for each event, `withhold` seconds for each answer after its request was served, `repeat`
-    of events, streams cut after `cut_after` bytes, another `cluster`.
+    """One member. Its attributes inject faults:
+
+    - `lag`: seconds by which it is behind; `frozen_revision`: the revision at which it has stopped
+    - `slow`: seconds before each request is served; `reply_delay`: seconds between serving it and the reply
+    - `event_delay`: seconds before each batch of events
+    - `repeats_events`: every event is sent twice
+    - `break_after_bytes`: bytes after which a stream breaks
+    - `cluster`: the ID of another cluster
     """
 
     def __init__(self, etcd: Etcd, number: int):
         self.etcd, self.number = etcd, number
-        self.lag = self.slow = self.hold = self.withhold = 0.0
-        self.stuck: int | None = None
-        self.repeat, self.cut_after, self.cluster, self.parted = False, 0, 0, False
+        self.lag = self.slow = self.event_delay = self.reply_delay = 0.0
+        self.frozen_revision: int | None = None
+        self.repeats_events, self.break_after_bytes, self.cluster, self.partitioned = False, 0, 0, False
         self.streams: set[object] = set()
-        self.past: list[tuple[float, int]] = []
+        self.revisions_seen: list[tuple[float, int]] = []
         self.requests = self.opened = 0
         self.server: Server | None = None
         self.address = ("127.0.0.1", 0)
         self.start()
 
     def start(self) -> None:
-        for tried in range(100):
+        for attempt in range(BIND_ATTEMPTS):
             try:
-                self.server = Server(listen(self.address), self.handle, BOUNDS)
+                self.server = Server(listen(self.address), self.handle, LIMITS)
                 break
             except OSError:
-                if tried == 99:
+                if attempt == BIND_ATTEMPTS - 1:
                     raise
-                gevent.sleep(0.01)  # the greenlets of the process before still let go of its sockets
+                gevent.sleep(0.01)  # greenlets of the stopped server may still hold its sockets
         self.address = self.server.address
 
     def stop(self) -> None:
-        """As killed: its connections break."""
+        """Stops as if killed: its connections break."""
         if self.server:
             self.server.close()
             self.server = None
 
     def cut(self) -> None:
+        """Breaks every watch stream."""
         self.streams.clear()
 
-    def part(self, parted: bool) -> None:
-        """Cut off from its peers, or back: it shows what it had, and can take nothing."""
-        self.parted, self.stuck = parted, self.etcd.history.revision if parted else None
+    def partition(self, partitioned: bool) -> None:
+        """Separates the member from its peers or reconnects it. Separated, it serves only what it already had."""
+        self.partitioned = partitioned
+        self.frozen_revision = self.etcd.history.revision if partitioned else None
 
     def revision(self) -> int:
-        """How far this member has got."""
+        """Returns the latest revision that this member has."""
         now, history = self.etcd.clock(), self.etcd.history
-        if self.stuck is not None:
-            return min(self.stuck, history.revision)
+        if self.frozen_revision is not None:
+            return min(self.frozen_revision, history.revision)
         if not self.lag:
             return history.revision
-        if not self.past or self.past[-1][1] != history.revision:
-            self.past.append((now, history.revision))
-        seen = [revision for at, revision in self.past if at <= now - self.lag]
-        self.past = self.past[-200:]
-        return seen[-1] if seen else 1
+        if not self.revisions_seen or self.revisions_seen[-1][1] != history.revision:
+            self.revisions_seen.append((now, history.revision))
+        visible = [revision for at, revision in self.revisions_seen if at <= now - self.lag]
+        self.revisions_seen = self.revisions_seen[-200:]
+        return visible[-1] if visible else 1
 
     def header(self) -> dict:
+        """Returns the header of a response."""
         cluster = self.cluster or self.etcd.history.cluster
         return {
             "cluster_id": str(cluster), "member_id": str(self.number + 1), "revision": str(self.revision()),
             "raft_term": "2",
         }  # fmt: skip
 
-    # The gateway.
+    # JSON gateway.
 
     def handle(self, request: Request, peer: Peer) -> Reply:
         self.requests += 1
         if self.slow:
             gevent.sleep(self.slow)
         try:
-            asked = json.loads(request.body or b"{}")
+            body = json.loads(request.body or b"{}")
             path = "/".join(request.path)
             if path == "v3/auth/authenticate":
-                return self._authenticate(asked)
+                return self._authenticate(body)
             if self.etcd.users and request.headers.get("authorization") not in self.etcd.tokens:
                 return _error(16, "etcdserver: invalid auth token", 401)
-            who = request.headers.get("user-agent", "")
+            user_agent = request.headers.get("user-agent", "")
             serve = {
                 "v3/kv/range": self._range, "v3/kv/put": self._put, "v3/kv/deleterange": self._delete,
                 "v3/kv/txn": self._txn, "v3/kv/compaction": self._compact, "v3/watch": self._watch,
                 "v3/lease/grant": self._grant, "v3/lease/keepalive": self._keep,
                 "v3/lease/revoke": self._revoke,
             }.get(path)  # fmt: skip
-            if path != "v3/watch" and serve and self.parted:
-                return self._leaderless(asked, who, serve, path)
-            if path not in ("v3/watch", "v3/kv/range") and serve and self.etcd.clock() < self.etcd.electing:
+            if path != "v3/watch" and serve and self.partitioned:
+                return self._leaderless(body, user_agent, serve, path)
+            if (
+                path not in ("v3/watch", "v3/kv/range")
+                and serve
+                and self.etcd.clock() < self.etcd.election_ends
+            ):
                 if self.etcd.random.random() < 0.5:
-                    serve(asked, who)
+                    serve(body, user_agent)
                 return _error(14, "etcdserver: leader changed", 503)
-            reply = serve(asked, who) if serve else _error(12, "Not Found", 404)
-            if self.withhold and path != "v3/watch":
-                gevent.sleep(self.withhold)
+            reply = serve(body, user_agent) if serve else _error(12, "Not Found", 404)
+            if self.reply_delay and path != "v3/watch":
+                gevent.sleep(self.reply_delay)
             return reply
-        except (ValueError, KeyError, TypeError) as fault:
-            return _error(3, f"bad request: {fault!r}", 400)
+        except (ValueError, KeyError, TypeError) as error:
+            return _error(3, f"bad request: {error!r}", 400)
 
-    def _leaderless(self, asked: dict, who: str, serve: Callable, path: str) -> Reply:
-        """Only reads that may be stale are answered (KV API guarantees: serializable); others time out."""
-        if path == "v3/kv/range" and asked.get("serializable"):
-            return serve(asked, who)
+    def _leaderless(self, body: dict, user_agent: str, serve: Callable, path: str) -> Reply:
+        """Serves only reads that may be stale (serializable, in the KV API guarantees); others time out."""
+        if path == "v3/kv/range" and body.get("serializable"):
+            return serve(body, user_agent)
         gevent.sleep(0.3)
         return _error(14, "etcdserver: request timed out", 503)
 
-    def _authenticate(self, asked: dict) -> Reply:
-        if self.etcd.users.get(asked["name"]) != asked["password"]:
+    def _authenticate(self, body: dict) -> Reply:
+        if self.etcd.users.get(body["name"]) != body["password"]:
             return _error(3, "etcdserver: authentication failed, invalid user ID or password", 400)
         token = f"token-{len(self.etcd.tokens) + 1}"
-        self.etcd.tokens[token] = asked["name"]
+        self.etcd.tokens[token] = body["name"]
         return self._reply(token=token)
 
     def _reply(self, **more) -> Reply:
         return _json({"header": self.header(), **more})
 
-    def _range(self, asked: dict, who: str) -> Reply:
-        history, here = self.etcd.history, self.revision()
-        first, end = _bytes(asked["key"]), _bytes(asked.get("range_end", ""))
-        revision, limit = int(asked.get("revision", 0)), int(asked.get("limit", 0))
-        if revision > here:
+    def _range(self, body: dict, user_agent: str) -> Reply:
+        history, latest = self.etcd.history, self.revision()
+        first, end = _bytes(body["key"]), _bytes(body.get("range_end", ""))
+        revision, limit = int(body.get("revision", 0)), int(body.get("limit", 0))
+        if revision > latest:
             return _error(11, "etcdserver: mvcc: required revision is a future revision", 400)
         if revision and revision < history.compacted:
             return _error(11, "etcdserver: mvcc: required revision has been compacted", 400)
-        found = history.at(revision or here, first, end)
+        found = history.at(revision or latest, first, end)
         page = found[:limit] if limit else found
-        self._told(who, [(key, value) for key, value in page])
+        self._log_drains(user_agent, [(key, value) for key, value in page])
         kvs = [_kv(key, value) for key, value in page]
         more = {"more": True} if len(page) < len(found) else {}
         return self._reply(kvs=kvs, count=str(len(found)), **more)
 
-    def _put(self, asked: dict, who: str) -> Reply:
-        lease = int(asked.get("lease", 0))
+    def _put(self, body: dict, user_agent: str) -> Reply:
+        lease = int(body.get("lease", 0))
         if lease and lease not in self.etcd.history.leases:
             return _error(5, "etcdserver: requested lease not found", 404)
-        self.etcd.history.put(_bytes(asked["key"]), _bytes(asked.get("value", "")), lease)
+        self.etcd.history.put(_bytes(body["key"]), _bytes(body.get("value", "")), lease)
         return self._reply()
 
-    def _delete(self, asked: dict, who: str) -> Reply:
-        first, end = _bytes(asked["key"]), _bytes(asked.get("range_end", ""))
-        keys = [key for key in self.etcd.history.now_at if _inside(key, first, end)]
+    def _delete(self, body: dict, user_agent: str) -> Reply:
+        first, end = _bytes(body["key"]), _bytes(body.get("range_end", ""))
+        keys = [key for key in self.etcd.history.current if _inside(key, first, end)]
         return self._reply(deleted=str(self.etcd.history.delete(*keys)))
 
-    def _txn(self, asked: dict, who: str) -> Reply:
+    def _txn(self, body: dict, user_agent: str) -> Reply:
         history = self.etcd.history
         holds = True
-        for compare in asked.get("compare", []):
-            there = history.now_at.get(_bytes(compare["key"]))
+        for compare in body.get("compare", []):
+            entry = history.current.get(_bytes(compare["key"]))
             target = {"CREATE": "create", "MOD": "mod", "VERSION": "version"}.get(compare.get("target"))
             if target is None or compare.get("result", "EQUAL") != "EQUAL":
-                return _error(12, "this stand-in compares revisions and versions for equality alone", 400)
+                return _error(
+                    12, "this fake etcd compares only revisions and versions, and only for equality", 400
+                )
             wanted = compare.get(target if target == "version" else f"{target}_revision", 0)
-            holds &= (there[target] if there else 0) == int(wanted)
+            holds &= (entry[target] if entry else 0) == int(wanted)
         responses = []
-        for op in asked.get("success" if holds else "failure", []):
+        for op in body.get("success" if holds else "failure", []):
             name, inner = next(iter(op.items()))
-            reply = {"request_put": self._put, "request_range": self._range}[name](inner, who)
+            reply = {"request_put": self._put, "request_range": self._range}[name](inner, user_agent)
             if reply.status != 200:
                 return reply
             responses.append({name.replace("request", "response"): json.loads(reply.body)})
         return self._reply(responses=responses, **({"succeeded": True} if holds else {}))
 
-    def _compact(self, asked: dict, who: str) -> Reply:
-        self.etcd.history.compact(int(asked["revision"]))
+    def _compact(self, body: dict, user_agent: str) -> Reply:
+        self.etcd.history.compact(int(body["revision"]))
         return self._reply()
 
-    def _grant(self, asked: dict, who: str) -> Reply:
-        ttl = int(asked["TTL"])
+    def _grant(self, body: dict, user_agent: str) -> Reply:
+        ttl = int(body["TTL"])
         return self._reply(ID=str(self.etcd.history.grant(self.etcd.clock(), ttl)), TTL=str(ttl))
 
-    def _keep(self, asked: dict, who: str) -> Reply:
-        lease = int(asked["ID"])
+    def _keep(self, body: dict, user_agent: str) -> Reply:
+        lease = int(body["ID"])
         self.etcd.history.expire(self.etcd.clock())
-        ttl = self.etcd.history.keep(self.etcd.clock(), lease)
-        told = {"header": self.header(), "ID": str(lease), **({"TTL": str(int(ttl))} if ttl else {})}
-        return _json({"result": told})
+        ttl = self.etcd.history.keep_alive(self.etcd.clock(), lease)
+        result = {"header": self.header(), "ID": str(lease), **({"TTL": str(int(ttl))} if ttl else {})}
+        return _json({"result": result})
 
-    def _revoke(self, asked: dict, who: str) -> Reply:
-        self.etcd.history.revoke(int(asked["ID"]))
+    def _revoke(self, body: dict, user_agent: str) -> Reply:
+        self.etcd.history.revoke(int(body["ID"]))
         return self._reply()
 
     # Watches.
 
-    def _watch(self, asked: dict, who: str) -> Reply:
-        create = asked["create_request"]
+    def _watch(self, body: dict, user_agent: str) -> Reply:
+        create = body["create_request"]
         self.opened += 1
-        return Reply(200, (("Content-Type", "application/json"),), self._stream(create, who))
+        return Reply(200, (("Content-Type", "application/json"),), self._stream(create, user_agent))
 
-    def _stream(self, create: dict, who: str) -> Iterator[bytes]:
-        """The messages as bytes; a cut, wherever in a message, breaks the connection."""
-        mark, sent = object(), 0
-        self.streams.add(mark)
+    def _stream(self, create: dict, user_agent: str) -> Iterator[bytes]:
+        """Yields the messages as bytes. A break, even in the middle of a message, breaks the connection."""
+        stream, sent = object(), 0
+        self.streams.add(stream)
         try:
-            for message, told in self._messages(create, mark):
+            for message, entries in self._messages(create, stream):
                 data = json.dumps({"result": message}).encode() + b"\n"
-                if self.cut_after and sent + len(data) > self.cut_after:
-                    yield data[: max(1, self.cut_after - sent)]
-                    raise ConnectionResetError("cut")
+                if self.break_after_bytes and sent + len(data) > self.break_after_bytes:
+                    yield data[: max(1, self.break_after_bytes - sent)]
+                    raise ConnectionResetError("the watch stream was broken")
                 sent += len(data)
                 yield data
-                # Only now has its last byte been handed to the network: what is cut short tells nothing.
-                self._told(who, told)
-            raise ConnectionResetError("cut")
+                # Logged only now that the last byte was sent: a truncated message does not inform the client.
+                self._log_drains(user_agent, entries)
+            raise ConnectionResetError("the watch stream was broken")
         finally:
-            self.streams.discard(mark)
+            self.streams.discard(stream)
 
-    def _messages(self, create: dict, mark: object) -> Iterator[tuple[dict, list]]:
+    def _messages(self, create: dict, stream: object) -> Iterator[tuple[dict, list]]:
         history = self.etcd.history
         first, end = _bytes(create["key"]), _bytes(create.get("range_end", ""))
         after = int(create.get("start_revision", 0)) or self.revision() + 1
-        whole, filters = not create.get("fragment"), create.get("filters", ())
+        unfragmented, filters = not create.get("fragment"), create.get("filters", ())
         yield {"header": self.header(), "created": True}, []
-        noted = self.etcd.clock()
-        while mark in self.streams:
+        last_message = self.etcd.clock()
+        while stream in self.streams:
             changed = history.changed
             if after <= history.compacted and after <= self.revision():
                 reason = "etcdserver: mvcc: required revision has been compacted"
@@ -401,78 +421,82 @@
                     "cancel_reason": reason,
                 }, []  # fmt: skip
                 return
-            until = min(self.revision(), after + ROOM - 1)
+            until = min(self.revision(), after + MAX_MESSAGE_REVISIONS - 1)
             if until >= after:
-                if self.hold:
-                    gevent.sleep(self.hold)
+                if self.event_delay:
+                    gevent.sleep(self.event_delay)
                 events = [
                     e for e in history.since(after, until)
                     if _inside(e[1], first, end) and ("NOPUT" if e[2] else "NODELETE") not in filters
                 ]  # fmt: skip
                 after = until + 1
-                for _ in range(2 if self.repeat else 1):
-                    yield from self._parts(events, whole)
-                noted = self.etcd.clock()
+                for _ in range(2 if self.repeats_events else 1):
+                    yield from self._fragments(events, unfragmented)
+                last_message = self.etcd.clock()
                 continue
-            if create.get("progress_notify") and self.etcd.clock() - noted >= self.etcd.progress:
-                noted = self.etcd.clock()
+            if (
+                create.get("progress_notify")
+                and self.etcd.clock() - last_message >= self.etcd.progress_interval_seconds
+            ):
+                last_message = self.etcd.clock()
                 yield {"header": self.header()}, []
-            changed.wait(0.02 if self.lag or self.stuck is not None else 0.1)
+            changed.wait(0.02 if self.lag or self.frozen_revision is not None else 0.1)
 
-    def _parts(self, events: list, whole: bool) -> Iterator[tuple[dict, list]]:
-        size = len(events) if whole else FRAGMENT
+    def _fragments(self, events: list, unfragmented: bool) -> Iterator[tuple[dict, list]]:
+        size = len(events) if unfragmented else FRAGMENT_EVENTS
         for i in range(0, len(events), max(1, size)):
-            part = events[i : i + size]
-            told = [
+            fragment = events[i : i + size]
+            encoded = [
                 {"kv": _kv(key, value)} if value else
                 {"type": "DELETE", "kv": {"key": _b64(key), "mod_revision": str(revision)}}
-                for revision, key, value in part
+                for revision, key, value in fragment
             ]  # fmt: skip
             last = i + size >= len(events)
             yield (
-                {"header": self.header(), "events": told, **({} if last else {"fragment": True})},
-                [(key, value) for _, key, value in part],
+                {"header": self.header(), "events": encoded, **({} if last else {"fragment": True})},
+                [(key, value) for _, key, value in fragment],
             )
 
-    def _told(self, who: str, pairs: list[tuple[bytes, dict | None]]) -> None:
+    def _log_drains(self, user_agent: str, pairs: list[tuple[bytes, dict | None]]) -> None:
         for key, value in pairs:
             parts = key.split(b"/")
             if len(parts) > 2 and parts[-2] == b"drains":
                 self.etcd.log(
-                    "etcd", "told", front=who, streamer=parts[-1].decode(), drained=value is not None
+                    "etcd", "told", front=user_agent, streamer=parts[-1].decode(), drained=value is not None
                 )
 
 
-def standing(key: bytes, there: bool) -> tuple[str, bool] | None:
-    """What a key says of a streamer: its name, and whether no new work may go to it."""
+def drain_state(key: bytes, exists: bool) -> tuple[str, bool] | None:
+    """Returns the streamer that a key is about, and whether the key means that it takes no new work."""
     *_, kind, name = [b"", b"", *key.split(b"/")]
     if kind not in (b"drains", b"streamers"):
         return None
-    return name.decode(), there == (kind == b"drains")
+    return name.decode(), exists == (kind == b"drains")
 
 
 def fill(history: History, prefix: str, streamers: dict[str, dict]) -> None:
-    """Put streamers, values of the schema without their version."""
+    """Puts streamers; their values follow the schema, without its version."""
     for name, value in streamers.items():
         put(history, f"{prefix}streamers/{name}", v=1, **value)
 
 
 def put(history: History, key: str, lease: int = 0, **value) -> None:
+    """Puts a key with the keyword arguments as its JSON value."""
     history.put(key.encode(), json.dumps(value).encode(), lease)
 
 
-def whole(history: History, prefix: str) -> dict[str, bytes]:
-    """What a reader of the prefix finds now."""
+def snapshot(history: History, prefix: str) -> dict[str, bytes]:
+    """Returns the current values below a prefix, by key."""
     first = prefix.encode()
     return {k.decode(): v["value"] for k, v in history.at(history.revision, first, prefix_end(prefix))}
 
 
 def _kv(key: bytes, value: dict) -> dict:
-    told = {
+    encoded = {
         "key": _b64(key), "create_revision": str(value["create"]), "mod_revision": str(value["mod"]),
         "version": str(value["version"]), "value": _b64(value["value"]),
     }  # fmt: skip
-    return told | ({"lease": str(value["lease"])} if value["lease"] else {})
+    return encoded | ({"lease": str(value["lease"])} if value["lease"] else {})
 
 
 def _b64(data: bytes) -> str:
--- a/herongap/standins/farm.py
+++ b/herongap/standins/farm.py
@@ -22,7 +22,7 @@
         self._write(json.dumps([round(self._clock(), 6), who, what, details]) + "\n")
 
 
-class Farm:
+class StreamerPool:
     """The streamers and their racks; each streamer adds itself."""
 
     def __init__(self, kind: Kind, log: Log, seed: int, clock: Callable[[], float] = time.monotonic):
@@ -51,7 +51,7 @@
             for st in self.streamers.values():
                 st.sweep(now)
 
-    def command(self, order: dict) -> None:
+    def carry_out(self, order: dict) -> None:
         """Carry out one order of a script: {"do": ..., "on": [streamers], ...}."""
         for name in order.get("on", list(self.streamers)):
             st = self.streamers[name]
--- a/herongap/standins/segments.py
+++ b/herongap/standins/segments.py
@@ -1,8 +1,9 @@
-"""The part of a stand-in streamer that serves segments: synthetic bytes, tokens checked with nobody asked.
+"""Segments of a fake streamer: synthetic bytes, with tokens verified locally.
 
-A segment's size is that of its rung for its duration, divided by `THIN` (loopback and Python bear less than
-links do); the time it takes is that of the whole size, at twice the rate that its session is charged with and
-with the share that its link delivers. A player of a link with room thus gains a second for each that passes.
+A segment's size is that of its rung for its duration, divided by `SIZE_DIVISOR`, because loopback and Python
+carry less than real links. Its transfer time is that of the full size at twice the rate that its session is
+charged for, slowed by the share that its link delivers. A player behind an uncongested link thus gains one
+second of buffer each second.
 """
 
 import json
@@ -16,99 +17,107 @@
 from herongap.dash import TokenError, TokenVerifier, read_cmcd
 from herongap.http import Reply, Request, problem
 
-THIN = 1000
-QUICK = 2.0  # times the session's rate at which a link with room delivers
-CHUNKS = 4
-KEYS = "/.well-known/jwks.json"
-FETCH = 1.0  # seconds between two fetches of the key set
-OPEN = (("Access-Control-Allow-Origin", "*"),)
+SIZE_DIVISOR = 1000
+UNCONGESTED_RATE_FACTOR = 2.0  # of the rate that the session is charged for
+CHUNKS_PER_SEGMENT = 4
+INIT_SEGMENT_BYTES = 200
+KEY_SET_PATH = "/.well-known/jwks.json"
+KEY_SET_FETCH_INTERVAL_SECONDS = 1.0
+CORS_HEADERS = (("Access-Control-Allow-Origin", "*"),)
 
 
 class Segments:
-    """Of one streamer. `fronts` are where the key set is had, the first that answers; none before anybody
-    said.
+    """The segments of one streamer.
+
+    The key set is read from the first of `controllers` that answers; the list is empty until it is set.
     """
 
     def __init__(self, streamer, wall=time.time):
         self.streamer, self.wall = streamer, wall
-        self.fronts: list[Address] = []
-        self.checker = TokenVerifier(streamer.name, {"keys": []})
+        self.controllers: list[Address] = []
+        self.verifier = TokenVerifier(streamer.name, {"keys": []})
         self.by_viewing: dict[str, object] = {}
         self.segment = 2.0
-        self.fetched, self.fetching = float("-inf"), RLock()
+        self.fetched_at, self.fetch_lock = float("-inf"), RLock()
         self.refused: dict[str, int] = {}
 
     def serve(self, path: list[str], request: Request, peer: Peer) -> Reply:
-        """GET /dash/TITLE/TOKEN/RUNG/FILE."""
-        st = self.streamer
+        """Handles GET /dash/TITLE/TOKEN/RUNG/FILE."""
+        streamer = self.streamer
         _, title, token, rung, file = path
-        if st.machine.muted():
-            peer.wait(st.cut_off, 600.0)
+        if streamer.machine.muted():
+            peer.wait(streamer.cut_off, 600.0)
             raise PeerDisconnectedError
         try:
-            grant = self._check(token, title)
-        except TokenError as refusal:
-            self.refused[refusal.kind] = self.refused.get(refusal.kind, 0) + 1
-            kind = "not-allowed" if refusal.kind in ("elsewhere", "member", "title") else "token-refused"
-            return problem(kind, refusal.kind, OPEN)
+            grant = self._verify(token, title)
+        except TokenError as error:
+            self.refused[error.kind] = self.refused.get(error.kind, 0) + 1
+            kind = "not-allowed" if error.kind in ("elsewhere", "member", "title") else "token-refused"
+            return problem(kind, error.kind, CORS_HEADERS)
         session = self.by_viewing.get(grant.viewing)
-        if session is None or session.name not in st.sessions:
-            # A token outlives its viewing, and is good for nothing then.
+        if session is None or session.name not in streamer.sessions:
+            # The token is still valid, but its viewing has ended.
             self.by_viewing.pop(grant.viewing, None)
-            return problem("manifest-over", headers=OPEN)
+            return problem("manifest-over", headers=CORS_HEADERS)
         if not rung.isdigit() or not grant.floor <= int(rung) <= min(grant.top, session.rung):
-            # A player that ignores its manifests after a cut does not get what it asks for.
-            return problem("rung-refused", f"at most {min(grant.top, session.rung)}", OPEN)
-        now = st.clock()
+            # The player ignored a manifest that lowered its top rung.
+            return problem("rung-refused", f"at most {min(grant.top, session.rung)}", CORS_HEADERS)
+        now = streamer.clock()
         if session.consent is None:
-            st.log(st.name, "joined", identity=session.identity, session=session.name)
+            streamer.log(streamer.name, "joined", identity=session.identity, session=session.name)
         session.consent = now
-        told = read_cmcd(request.query.get("CMCD"), request.headers)
-        st.log(st.name, "segment", identity=session.identity, session=session.name, rung=int(rung), file=file,
-               starved=bool(told.get("bs")), buffer=told.get("bl"))  # fmt: skip
-        rate = st.kind.ladder[int(rung)]
-        first = file.startswith("init")
-        size = 200 if first else int(rate * 1000 * self.segment / THIN)
-        seconds = 0.0 if first else self.segment / QUICK * rate / st.kind.ladder[session.rung]
-        return Reply(200, (("Content-Type", "video/mp4"), *OPEN), self._paced(session, size, seconds))
+        cmcd = read_cmcd(request.query.get("CMCD"), request.headers)
+        streamer.log(
+            streamer.name, "segment", identity=session.identity, session=session.name, rung=int(rung),
+            file=file, starved=bool(cmcd.get("bs")), buffer=cmcd.get("bl"),
+        )  # fmt: skip
+        rate = streamer.kind.ladder[int(rung)]
+        is_init = file.startswith("init")
+        size = INIT_SEGMENT_BYTES if is_init else int(rate * 1000 * self.segment / SIZE_DIVISOR)
+        seconds = (
+            0.0
+            if is_init
+            else self.segment / UNCONGESTED_RATE_FACTOR * rate / streamer.kind.ladder[session.rung]
+        )
+        return Reply(200, (("Content-Type", "video/mp4"), *CORS_HEADERS), self._paced(session, size, seconds))
 
     def _paced(self, session, size: int, seconds: float):
-        """The bytes, as the link delivers them; broken off when the session ends."""
-        st = self.streamer
-        for i in range(CHUNKS):
-            if session.name not in st.sessions:
-                raise ConnectionResetError("its session ended")
-            part = size * (i + 1) // CHUNKS - size * i // CHUNKS
-            yield bytes(part) or b"\0"
-            gevent.sleep(seconds / CHUNKS / max(0.02, st.machine.share))
-            session.consent = st.clock()
+        """Yields the bytes at the pace of the link, and resets the connection when the session ends."""
+        streamer = self.streamer
+        for i in range(CHUNKS_PER_SEGMENT):
+            if session.name not in streamer.sessions:
+                raise ConnectionResetError("the session ended")
+            chunk_size = size * (i + 1) // CHUNKS_PER_SEGMENT - size * i // CHUNKS_PER_SEGMENT
+            yield bytes(chunk_size) or b"\0"
+            gevent.sleep(seconds / CHUNKS_PER_SEGMENT / max(0.02, streamer.machine.share))
+            session.consent = streamer.clock()
 
-    def _check(self, token: str, title: str):
+    def _verify(self, token: str, title: str):
         try:
-            return self.checker.verify(self.wall(), token, title)
-        except TokenError as refusal:
-            if refusal.kind != "unknown-key" or not self._fetch(refusal.kid):
+            return self.verifier.verify(self.wall(), token, title)
+        except TokenError as error:
+            if error.kind != "unknown-key" or not self._fetch(error.kid):
                 raise
-        return self.checker.verify(self.wall(), token, title)
+        return self.verifier.verify(self.wall(), token, title)
 
     def _fetch(self, kid: str) -> bool:
-        """Read the published keys; at most once in a while, whatever strangers' tokens name."""
-        with self.fetching:
-            # Whoever comes while the set is being fetched waits for it, and finds the key there.
-            if kid in self.checker.key_ids:
+        """Reads the published key set, at a limited rate whatever keys the tokens name."""
+        with self.fetch_lock:
+            # A request that waited for another one's fetch finds the key here.
+            if kid in self.verifier.key_ids:
                 return True
             now = self.streamer.clock()
-            if now - self.fetched < FETCH:
+            if now - self.fetched_at < KEY_SET_FETCH_INTERVAL_SECONDS:
                 return False
-            self.fetched = now
-            return any(self._fetch_from(address) for address in self.fronts)
+            self.fetched_at = now
+            return any(self._fetch_from(address) for address in self.controllers)
 
     def _fetch_from(self, address: Address) -> bool:
         try:
-            self.checker.set_keys(
-                json.loads(request_once(address, "GET", KEYS, time_out=2.0, connect=0.5).body)
+            self.verifier.set_keys(
+                json.loads(request_once(address, "GET", KEY_SET_PATH, time_out=2.0, connect=0.5).body)
             )
             return True
-        except (OSError, h11.ProtocolError, ValueError) as fault:
-            self.streamer.log(self.streamer.name, "keys-not-read", cause=repr(fault)[:80])
+        except (OSError, h11.ProtocolError, ValueError) as error:
+            self.streamer.log(self.streamer.name, "keys-not-read", cause=repr(error)[:80])
             return False
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        farm,
+        pool,
         name: str,
         zone: str,
         rack: str,
@@ -40,15 +40,15 @@
         started: float | None = None,
         address=("127.0.0.1", 0),
     ):
-        self.farm, self.name, self.zone, self.titles = farm, name, zone, titles
-        self.kind, self.log, self.clock = farm.kind, farm.log, farm.clock
-        self.machine = Machine(farm.kind, name, zone, farm.rack(rack), started)
+        self.pool, self.name, self.zone, self.titles = pool, name, zone, titles
+        self.kind, self.log, self.clock = pool.kind, pool.log, pool.clock
+        self.machine = Machine(pool.kind, name, zone, pool.rack(rack), started)
         self.streams: dict[str, list[Queue]] = {}
         self.boot = self.count = 0
         self._short = False
         self.segments = Segments(self)
         self.address = address
-        farm.add(self)
+        pool.add(self)
         self.up()
 
     @property
@@ -92,7 +92,7 @@
     def order(self, order: dict) -> None:
         """A fault begins or ends, or the process comes or goes."""
         if order["do"] == "fronts":
-            self.segments.fronts = [tuple(address) for address in order["at"]]
+            self.segments.controllers = [tuple(address) for address in order["at"]]
             return
         if order["do"] == "die":
             self.die()
@@ -172,12 +172,12 @@
             self._stand_still(peer, identity)
         if self.titles is not None and title not in self.titles:
             return self._refuse(identity, problem("no-such-title"))
-        delay = self.farm.random.uniform(*self.kind.set_up)
+        delay = self.pool.random.uniform(*self.kind.set_up)
         if slow := self.faults.get("slow"):
             delay += slow["by"]
         if not self._pause(peer, delay, identity):
             raise PeerDisconnectedError
-        if (bad := self.faults.get("fail")) and self.farm.random.random() < bad.get("part", 1.0):
+        if (bad := self.faults.get("fail")) and self.pool.random.random() < bad.get("part", 1.0):
             return self._refuse(identity, problem("internal"))
         if self.machine.fallen or not self.running:
             return self._refuse(identity, problem("internal", "fell over"))
@@ -315,14 +315,14 @@
 
     def _note(self, name: str, data: dict) -> None:
         lost = self.faults.get("notes_lost")
-        if lost is None or self.farm.random.random() >= lost["part"]:
+        if lost is None or self.pool.random.random() >= lost["part"]:
             self._tell(name, data)
 
     def _report(self) -> None:
         """Load every `tell` seconds; the share delivered each second while it is short, and once more
         after.
         """
-        told = self.clock() + self.farm.random.uniform(0, self.kind.tell)
+        told = self.clock() + self.pool.random.uniform(0, self.kind.tell)
         while True:
             gevent.sleep(1.0)
             late = self.kind.told_late + self.faults.get("late", {}).get("by", 0.0)
@@ -353,7 +353,7 @@
                     break
 
 
-def run_orders(farm, lines) -> None:
+def run_orders(pool, lines) -> None:
     """Carry out orders, one JSON object a line, until the end of input."""
     for line in lines:
-        farm.command(json.loads(line))
+        pool.carry_out(json.loads(line))
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -17,12 +17,12 @@
 from herongap.standins import stun
 
 
-class Tried(NamedTuple):
+class AttemptResult(NamedTuple):
     """What came of one POST: the status (0: none came), the problem's kind, seconds it took."""
 
     status: int
     kind: str
-    taken: float
+    elapsed: float
     reply: Reply | None
 
 
@@ -56,7 +56,7 @@
         # As herongap.sdp reads it from the offer: what joins the viewer's log to the streamers'.
         self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {mark}"
 
-    def post(self, patience: float, hang_up: float | None = None) -> Tried:
+    def post(self, patience: float, hang_up: float | None = None) -> AttemptResult:
         """POST the offer and wait for the answer; `hang_up` seconds in, hang up instead."""
         began = self.clock()
         asked = dict(identity=self.identity, target=self.target, patience=patience, front=self.front[1])
@@ -84,7 +84,7 @@
             self.name, "answered", identity=self.identity, asked=began, status=status, kind=kind,
             taken=round(taken, 4), front=self.front[1], location=self.location if status == 201 else "",
         )  # fmt: skip
-        return Tried(status, kind, taken, reply)
+        return AttemptResult(status, kind, taken, reply)
 
     def play(self, seconds: float, lost_after: float = 4.0) -> bool:
         """Send consent each second while playing; False if the streamer stops answering it."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 from herongap.ini import read_site
 from herongap.rehearsal.stage import Actors
 from herongap.rules import Controller
-from herongap.standins import Farm, Kind, Streamer, Viewer
+from herongap.standins import Kind, Streamer, StreamerPool, Viewer
 from herongap.standins.farm import Log
 
 INI = """
@@ -62,8 +62,10 @@
     def __init__(self, folder, streamers=3, extra="", make_controller=Controller, titles=None, kind=KIND,
                  clock=time.monotonic):  # fmt: skip
         self.folder, self.streamer_events = folder, []
-        self.farm = Farm(kind, Log(lambda line: self.streamer_events.append(json.loads(line))), seed=1)
-        self.streamers = [Streamer(self.farm, f"s{i}", "", f"r{i}") for i in range(streamers)]
+        self.pool = StreamerPool(
+            kind, Log(lambda line: self.streamer_events.append(json.loads(line))), seed=1
+        )
+        self.streamers = [Streamer(self.pool, f"s{i}", "", f"r{i}") for i in range(streamers)]
         self.list_entries = {}
         for streamer in self.streamers:
             self.list_entries[streamer.name] = {
@@ -94,7 +96,7 @@
 
     def command(self, do, *names, **more) -> None:
         """Give a command to the named streamers, or to all."""
-        self.farm.command({"do": do, "on": list(names) or [st.name for st in self.streamers], **more})
+        self.pool.carry_out({"do": do, "on": list(names) or [st.name for st in self.streamers], **more})
 
     def count(self, event, **fields) -> int:
         """Count the streamers' events of a kind that have these field values."""
@@ -113,7 +115,7 @@
 
     def close(self) -> None:
         self.daemon.kill()
-        self.farm.close()
+        self.pool.close()
 
 
 class InProcessActors(Actors):
@@ -124,29 +126,29 @@
 
     make_controller, break_daemon = Controller, staticmethod(lambda daemon: None)
 
-    def start_farm(self):
+    def start_streamers(self):
         self.log = open(self.folder / "streamers.jsonl", "w", encoding="utf-8")  # noqa: SIM115
         from herongap.fleet.day import farm_kind, rack_of, zone_of
 
-        self.farm = Farm(Kind(**farm_kind(self.day)), Log(self.log.write), self.seed)
+        self.pool = StreamerPool(Kind(**farm_kind(self.day)), Log(self.log.write), self.seed)
         for i in range(self.day.size.streamers):
-            Streamer(self.farm, f"s{i}", zone_of(i, self.day), rack_of(i, self.day))
-        return {name: streamer.address for name, streamer in self.farm.streamers.items()}
+            Streamer(self.pool, f"s{i}", zone_of(i, self.day), rack_of(i, self.day))
+        return {name: streamer.address for name, streamer in self.pool.streamers.items()}
 
     def order(self, what):
-        self.farm.command(what)
+        self.pool.carry_out(what)
 
-    def start_front(self, number, file):
-        daemon = self.fronts[number] = Daemon(read_site(file), self.make_controller)
+    def start_controller(self, number, file):
+        daemon = self.controllers[number] = Daemon(read_site(file), self.make_controller)
         daemon.start()
         self.break_daemon(daemon)
         return daemon.address
 
-    def kill_front(self, number):
-        self.fronts.pop(number).kill()
+    def kill_controller(self, number):
+        self.controllers.pop(number).kill()
 
     def stop(self):
-        gevent.joinall([gevent.spawn(daemon.stop) for daemon in self.fronts.values()])
+        gevent.joinall([gevent.spawn(daemon.stop) for daemon in self.controllers.values()])
         gevent.sleep(0.1)
-        self.farm.close()
+        self.pool.close()
         self.log.close()
--- a/tests/members.py
+++ b/tests/members.py
@@ -12,7 +12,7 @@
 from helpers import until
 from loopback import INI
 
-from herongap.rehearsal.datagrams import Datagrams
+from herongap.rehearsal.datagrams import DatagramRelay
 
 CONTROLLER = ("-m", "herongap.rehearsal.controller")
 WITHOUT_PAUSE_DETECTION = """
@@ -38,9 +38,9 @@
         self.folder, self.size, self.without_pause_detection = folder, size, without_pause_detection
         self.real_ports = [free_port(socket.SOCK_DGRAM) for _ in range(size)]
         self.metrics_ports = [free_port() for _ in range(size)]
-        self.relay = Datagrams("test", 1)
+        self.relay = DatagramRelay("test", 1)
         self.relay_addresses = [
-            self.relay.before(n, ("127.0.0.1", port)) for n, port in enumerate(self.real_ports)
+            self.relay.add(n, ("127.0.0.1", port)) for n, port in enumerate(self.real_ports)
         ]
         (folder / "streamers.json").write_text('{"streamers": []}')
         (folder / "catalogue.json").write_text('{"titles": {}}')
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -315,12 +315,12 @@
         assert etcd.history.leases[lease][0] > time.monotonic() + 0.5, (
             "the lease was extended by its full time"
         )
-        etcd.members[0].part(True)
+        etcd.members[0].partition(True)
         revision = etcd.history.revision
         assert request_once(etcd.members[0].address, "POST", "/v3/kv/put", [], body).status == 503
         etcd.history.put(b"b", b"2")
         assert etcd.members[0].revision() == revision
-        etcd.members[0].part(False)
+        etcd.members[0].partition(False)
         assert etcd.members[0].revision() == revision + 1
 
 
@@ -431,7 +431,7 @@
         key = f"{PREFIX}budgets/seats".encode()
 
         def stored():
-            return read_allocation(etcd.history.now_at[key]["value"])
+            return read_allocation(etcd.history.current[key]["value"])
 
         def run_budget(*args):
             # The command blocks, so it runs on a thread while the etcd stand-in runs on this one.
@@ -447,7 +447,7 @@
         )
         assert run_budget("set", str(file), "seats", "20").exit_code == 0
         assert stored().free == -20 and stored().allotments == allotments
-        assert json.loads(etcd.history.now_at[key]["value"])["marks"] == {"0": "5.1"}
+        assert json.loads(etcd.history.current[key]["value"])["marks"] == {"0": "5.1"}
         shown = run_budget("show", str(file))
         assert shown.exit_code == 0 and "seats: whole 20, free -20" in shown.output
         assert "controller 0    part     30" in shown.output and "claim is gone" in shown.output
@@ -455,7 +455,7 @@
         etcd.history.put(key, b"{}")
         assert run_budget("show", str(file), "--json").exit_code == 1
         assert run_budget("set", str(file), "seats", "1").exit_code == 1
-        assert etcd.history.now_at[key]["value"] == b"{}"
+        assert etcd.history.current[key]["value"] == b"{}"
 
 
 def test_platform_and_bench_adapters_import_neither_accord_nor_gossip():
--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -35,7 +35,7 @@
             folder, extra=DASH.format(seats=seats, token=token, rotate=rotate, ahead=ahead), **more
         )
         for streamer in self.streamers:
-            streamer.segments.fronts = [self.daemon.address]
+            streamer.segments.controllers = [self.daemon.address]
             streamer.segments.segment = 0.5
 
     def player(self, name="p", target="/dash/1", **more) -> Player:
@@ -155,7 +155,7 @@
     player.join()
     assert player.play(4.5) and set(player.statuses) == {200}
     kids = {key.kid for key in fleet.daemon.handler.dash.keys.rotation.keys}
-    assert len(kids) >= 2 and sum(st.segments.fetched > 0 for st in fleet.streamers) == 1
+    assert len(kids) >= 2 and sum(st.segments.fetched_at > 0 for st in fleet.streamers) == 1
 
 
 def test_a_viewing_ends_when_its_player_falls_silent_and_the_player_may_return(start_fleet):
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -446,7 +446,7 @@
         until(lambda: watcher.ranks and watcher.ranks[-1] == (0, 1))
         assert watcher.feed.status()["controllers"] == {"0": "h-0"}
         watcher.close()
-        until(lambda: not any(b"controllers" in key for key in etcd.history.now_at), 1.0)
+        until(lambda: not any(b"controllers" in key for key in etcd.history.current), 1.0)
 
 
 def test_stream_cut_at_any_byte_and_compaction_lose_no_change():
@@ -454,7 +454,7 @@
         watcher = Watcher(etcd)
         until(lambda: watcher.feed.state == "following")
         for cut in range(1, 1200, 97):
-            etcd.members[0].cut_after = cut
+            etcd.members[0].break_after_bytes = cut
             etcd.cut()
             drain(etcd, f"s{cut % 3}")
             put(etcd.history, f"{PREFIX}streamers/n{cut}", v=1, url="http://127.0.0.1:1")
@@ -462,7 +462,7 @@
                 etcd.history.compact()
             gevent.sleep(0.02)
             etcd.history.delete(f"{PREFIX}drains/s{cut % 3}".encode())
-        etcd.members[0].cut_after = 0
+        etcd.members[0].break_after_bytes = 0
         etcd.cut()
         until(lambda: watcher.feed.follower.revision == etcd.history.revision)
         assert watcher.feed.directory.streamers.keys() == {
@@ -518,7 +518,7 @@
         drain(etcd, "s0")
         until(lambda: watcher.standing("s0") is StreamerStatus.LEAVING)
         for member in etcd.members[:1]:
-            member.stuck = 2
+            member.frozen_revision = 2
         etcd.members[1].cluster = 0xBAD
         for _ in range(6):
             etcd.cut()
@@ -604,10 +604,10 @@
         etcd.members[0].slow = 2.6  # longer than the lease: the reply says that it has expired
         until(lambda: watcher.ranks[-1][0] is None)
         assert not watcher.feed.membership.holds_number(time.monotonic())
-        assert any(b"controllers" in key for key in etcd.history.now_at), (
+        assert any(b"controllers" in key for key in etcd.history.current), (
             "the controller gives up the number before the server does"
         )
-        until(lambda: not any(b"controllers" in key for key in etcd.history.now_at))
+        until(lambda: not any(b"controllers" in key for key in etcd.history.current))
         etcd.members[0].slow = 0.0
         until(lambda: watcher.ranks[-1] == (0, 1))
         watcher.close()
@@ -657,12 +657,12 @@
     lease = history.grant(0.0, 2.0)
     history.put(b"/a", b"1", lease)
     history.put(b"/b", b"2", lease)
-    assert history.keep(1.5, lease) == 2.0
+    assert history.keep_alive(1.5, lease) == 2.0
     history.expire(3.4)
-    assert len(history.now_at) == 2
+    assert len(history.current) == 2
     before = history.revision
     history.expire(3.5)
-    assert not history.now_at and history.revision == before + 1 and history.keep(3.6, lease) == 0.0
+    assert not history.current and history.revision == before + 1 and history.keep_alive(3.6, lease) == 0.0
     assert [k for k, _ in history.at(before, b"/", b"0")] == [b"/a", b"/b"], "history still shows them"
 
 
@@ -692,7 +692,7 @@
         shown = command("show", file)
         assert shown.exit_code == 0 and "3 streamers, etcd, revision 4" in shown.output, shown.output
         assert command("drain", file, "s1", "nobody").exit_code == 1
-        assert not any(b"drains" in key for key in etcd.history.now_at), "all or nothing"
+        assert not any(b"drains" in key for key in etcd.history.current), "all or nothing"
         assert "revision 5" in command("drain", file, "s1", "--reason", "disk").output
         assert json.loads(command("show", file, "--json").output)["streamers"]["s1"]["standing"] == "leaving"
         output = command("watch", file, "--seconds", "0.3", "--json").output
@@ -711,7 +711,7 @@
         assert etcd.history.revision == before
         assert command("import", file, tmp_path / "new.json").exit_code == 0
         now = {
-            k.decode().removeprefix(PREFIX): json.loads(v["value"]) for k, v in etcd.history.now_at.items()
+            k.decode().removeprefix(PREFIX): json.loads(v["value"]) for k, v in etcd.history.current.items()
         }
         assert now["streamers/s0"]["zone"] == "z" and now["streamers/s0"]["new"] == "kept"
         assert "drains/s1" in now and "streamers/s2" not in now
@@ -801,7 +801,7 @@
         shares = [watcher.feed.budgets.shares["seats"] for watcher in watchers]
 
         def parts():
-            return read_allocation(etcd.history.now_at[key.encode()]["value"]).allotments
+            return read_allocation(etcd.history.current[key.encode()]["value"]).allotments
 
         until(lambda: len(parts()) == 3 and sum(p.amount for p in parts().values()) >= 10, 20.0)
         until(lambda: all(s.room(time.monotonic()) > 0 for s in shares), 20.0)
@@ -809,12 +809,12 @@
             shares[0].record_start(time.monotonic())
         # Replies arrive after the timeout while controller 0 needs more and the others give capacity back.
         for member in etcd.members:
-            member.withhold = 0.6
+            member.reply_delay = 0.6
         for _ in range(8):
             shares[0].record_rejection(time.monotonic())
         until(lambda: sum(watcher.feed.budgets.unknown_outcomes for watcher in watchers) > 0, 20.0)
         for member in etcd.members:
-            member.withhold = 0.0
+            member.reply_delay = 0.0
         until(lambda: not any(s.document.uncertain for s in shares), 20.0)
         # Controller 2 dies: its part is freed once its lease has expired and the linger time has passed.
         dead_part = parts()["2"]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -89,7 +89,7 @@
         fleet.command("slow", by=delay)
         viewer = fleet.viewer(f"v{number}")
         outcome = viewer.post(1.2)
-        assert outcome.status in (201, 502, 503) and outcome.taken < 1.2
+        assert outcome.status in (201, 502, 503) and outcome.elapsed < 1.2
         if outcome.status == 201:
             assert viewer.delete() == 200
         fleet.until(lambda: fleet.session_count() == 0)
@@ -330,7 +330,7 @@
     posts = [gevent.spawn(fleet.viewer(f"v{i}").post, 2) for i in range(12)]
     outcomes = [g.get() for g in posts]
     refused = [t for t in outcomes if t.kind == "overloaded"]
-    assert len(refused) == 9 and all(t.reply.header("retry-after") and t.taken < 0.15 for t in refused)
+    assert len(refused) == 9 and all(t.reply.header("retry-after") and t.elapsed < 0.15 for t in refused)
     idle = [socket.create_connection(fleet.daemon.address) for _ in range(60)]
     gevent.sleep(0.05)
     assert fleet.viewer("more").post(1).kind == "overloaded"
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -7,7 +7,7 @@
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome, report
-from herongap.rehearsal import Unplayable, from_bench, play
+from herongap.rehearsal import UnsupportedTroubleError, from_bench, play
 from herongap.rules import Controller
 
 DAY = """
@@ -242,13 +242,13 @@
     (trouble,) = day.troubles.values()
     assert (trouble.kind, trouble.at, trouble.lasts, trouble.part) == ("silent", 2.0, 3.0, 0.1)
     assert day.size.streamers == 16 and day.size.controllers == 4 and script(day, 1).orders
-    whole = from_bench(drawn(), whole=True)
+    whole = from_bench(drawn(), full_size=True)
     assert whole.size.streamers == 20 and whole.size.controllers == 60
     asked = [d.size.rate * d.size.length / d.size.streamers for d in (day, whole)]
     assert asked[0] == pytest.approx(asked[1]), "links are asked for alike at either size"
     assert whole.size.length > 2 * whole.machines.warm_up
     odd = {"kind": "meteor", "at": 0, "len": 1, "size": 0, "extra": 0, "on": [], "steps": []}
-    with pytest.raises(Unplayable, match="meteor"):
+    with pytest.raises(UnsupportedTroubleError, match="meteor"):
         from_bench(drawn(troubles=[odd]))
     with pytest.raises(ValueError, match="not a drawn day"):
         from_bench({"troubles": []})
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -34,7 +34,7 @@
     base = tmp_path / "node" / "sites" / "fotopers-brussel.toml"
     base.parent.mkdir(parents=True)
     base.write_text(BASE)
-    for name in lay.BESIDE:
+    for name in lay.COMPANION_FILES:
         (base.parent / name).write_text(name)
     lay.main(str(tmp_path), str(tmp_path / "out"))
     made = sorted((tmp_path / "out").glob("*/*.toml"))
@@ -44,7 +44,7 @@
         change = tomllib.loads((SITES / path.name).read_text())
         assert told["name"] == change["name"] != "theirs" and told["net"]["jitter"] == [0.1, 0.3]
         assert told["class"] == change["class"] and told["net"]["zones"] == change["net"]["zones"]
-        assert all((path.parent / name).read_text() == name for name in lay.BESIDE)
+        assert all((path.parent / name).read_text() == name for name in lay.COMPANION_FILES)
     one = tomllib.loads((tmp_path / "out" / "onezone" / "onezone.toml").read_text())
     assert "tenant" not in one and "budget_ms" not in one["rules"]
     (tier,) = one["tier"]
