--- a/herongap/standins/__init__.py
+++ b/herongap/standins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins on loopback: streamers that speak WHIP and WHEP, scripted viewers and publishers. No media
-flows.
+"""Fakes on loopback: streamers that speak WHIP and WHEP, and scripted viewers and publishers.
+
+No media is sent.
 """
 
 from herongap.fleet.machine import Kind
--- a/herongap/standins/errors.py
+++ b/herongap/standins/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the stand-ins."""
+"""Errors of the fakes."""
 
 from herongap.errors import Unusable
 
@@ -6,4 +6,4 @@
 class BadBase64(Unusable):
     """A key or value that is not base64."""
 
-    advice = "nothing; whoever sent it is told"
+    advice = "nothing; the sender gets an error reply"
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -56,7 +56,7 @@
         )  # fmt: skip
 
     def delete(self, *keys: bytes) -> int:
-        """Deletes the keys in one revision, as a transaction or an expired lease does; returns how many existed."""
+        """Deletes keys in one revision, as an expired lease does; returns how many of them existed."""
         existing = [key for key in keys if key in self.current]
         if existing:
             self.revision += 1
@@ -153,7 +153,8 @@
         return ["{}:{}".format(*member.address) for member in self.members]
 
     def elect(self, seconds: float) -> None:
-        """Holds a leader election for that long. Some of the writes during it are applied, none is acknowledged.
+        """Holds a leader election. Some of the writes during it are applied, and none is acknowledged.
+
         The new leader extends every lease by its full TTL.
         """
         self.election_ends = self.clock() + seconds
@@ -234,7 +235,7 @@
         self.streams.clear()
 
     def partition(self, partitioned: bool) -> None:
-        """Separates the member from its peers or reconnects it. Separated, it serves only what it already had."""
+        """Separates the member from its peers, with only the data it has by then, or reconnects it."""
         self.partitioned = partitioned
         self.frozen_revision = self.etcd.history.revision if partitioned else None
 
--- a/herongap/standins/farm.py
+++ b/herongap/standins/farm.py
@@ -1,4 +1,4 @@
-"""All stand-in streamers of one process: their racks, and the orders that make them fail."""
+"""The pool of fake streamers of one process: their racks, and the orders that inject faults."""
 
 import json
 import random
@@ -9,11 +9,11 @@
 
 from herongap.fleet.machine import Kind, Rack
 
-TICK = 0.1  # seconds between two looks at the shares
+UPDATE_INTERVAL_SECONDS = 0.1  # of the streamers' shares of their racks' uplinks
 
 
 class Log:
-    """What a stand-in saw on its sockets: one JSON array a line, [time, who, what, details]."""
+    """Writes the events of a fake's sockets as JSON lines: [time, who, what, details]."""
 
     def __init__(self, write: Callable[[str], object], clock: Callable[[], float] = time.monotonic):
         self._write, self._clock = write, clock
@@ -23,42 +23,45 @@
 
 
 class StreamerPool:
-    """The streamers and their racks; each streamer adds itself."""
+    """The streamers and their racks. Each streamer adds itself."""
 
     def __init__(self, kind: Kind, log: Log, seed: int, clock: Callable[[], float] = time.monotonic):
         self.kind, self.log, self.clock = kind, log, clock
         self.random = random.Random(seed)
         self.streamers: dict[str, object] = {}
         self.racks: dict[str, Rack] = {}
-        self._ticking = gevent.spawn(self._run)
+        self._updater = gevent.spawn(self._update_shares)
 
     def add(self, streamer) -> None:
+        """Adds a streamer."""
         self.streamers[streamer.name] = streamer
 
     def rack(self, name: str) -> Rack:
+        """Returns the rack of that name, which is created at its first use."""
         if name not in self.racks:
             self.racks[name] = Rack(self.kind.rack, self.kind.sharing)
         return self.racks[name]
 
-    def _run(self) -> None:
-        # Shares change with warmth as well as with sessions; and notes are late, so the past is kept.
+    def _update_shares(self) -> None:
+        # Shares change with warm-up as well as with sessions. They are recorded because reports are delayed.
         while True:
-            gevent.sleep(TICK)
+            gevent.sleep(UPDATE_INTERVAL_SECONDS)
             now = self.clock()
             for rack in self.racks.values():
                 rack.share_out(now)
                 rack.note(now)
-            for st in self.streamers.values():
-                st.sweep(now)
+            for streamer in self.streamers.values():
+                streamer.sweep(now)
 
     def carry_out(self, order: dict) -> None:
-        """Carry out one order of a script: {"do": ..., "on": [streamers], ...}."""
+        """Carries out one order of a script: {"do": ..., "on": [streamers], ...}."""
         for name in order.get("on", list(self.streamers)):
-            st = self.streamers[name]
+            streamer = self.streamers[name]
             self.log(name, "order", **{k: v for k, v in order.items() if k != "on"})
-            st.order(order)
+            streamer.order(order)
 
     def close(self) -> None:
-        self._ticking.kill()
-        for st in self.streamers.values():
-            st.die()
+        """Ends all streamers."""
+        self._updater.kill()
+        for streamer in self.streamers.values():
+            streamer.die()
--- a/herongap/standins/player.py
+++ b/herongap/standins/player.py
@@ -1,8 +1,8 @@
-"""A scripted DASH player: manifest, segments by a throughput rule under its rungs, a buffer, CMCD.
+"""A scripted DASH player: manifests, segments chosen by a throughput rule, a buffer, and CMCD.
 
-It plays in real time: a second of buffer is used up each second, an empty buffer is a stall. What it does on
-errors is what players do: a refused token or rung, a session that is gone or a connection that breaks make it
-fetch its manifest again, 503 makes it wait as told.
+It plays in real time: each second uses up a second of buffer, and an empty buffer is a stall. It handles
+errors as real players do: after a rejected token or rung, an ended session or a broken connection it fetches
+its manifest again, and after a 503 it waits for the time in Retry-After.
 """
 
 import random
@@ -18,13 +18,14 @@
 from herongap.http import Reply, problem_kind
 
 NS = "{urn:mpeg:dash:schema:mpd:2011}"
-AHEAD = 6.0  # seconds of buffer at which it pauses
-SAFE = 0.8  # part of the measured throughput that a rung may take
-NETWORK = (OSError, h11.ProtocolError)
+MAX_BUFFER_SECONDS = 6.0
+THROUGHPUT_SAFETY_FACTOR = 0.8  # share of the measured throughput that a rung may use
+MAX_REFRESH_FAILURES = 4  # in a row
+NETWORK_ERRORS = (OSError, h11.ProtocolError)
 
 
 class Manifest(NamedTuple):
-    """What a player takes from a manifest. `rates` are kB a second by rung."""
+    """The parts of a manifest that a player uses. `rates` are kB/s by rung; times are in seconds."""
 
     base: str
     location: str
@@ -37,6 +38,7 @@
 
 
 def read_manifest(data: bytes, now: float) -> Manifest:
+    """Parses an MPD; `now` is the wall clock, by which live segments are numbered."""
     mpd = Xml.fromstring(data)
     template = next(mpd.iter(f"{NS}SegmentTemplate"))
     segment = int(template.get("duration")) / int(template.get("timescale"))
@@ -52,34 +54,35 @@
 
 
 class Player:
-    """One player of one title at one front. Times are the clock's; `stalled` and `played` are seconds."""
+    """One player of one title at one controller. `buffer`, `stalled` and `played` are in seconds."""
 
     def __init__(self, name: str, front: Address, target: str, log, seed: int = 0, headers=(),
                  clock=time.monotonic):  # fmt: skip
         self.name, self.front, self.target, self.log, self.clock = name, front, target, log, clock
         self.headers, self.random = list(headers), random.Random(f"{seed} {name}")
-        self.again()
-        self.next = 1
+        self.new_session()
+        self.next_segment = 1
         self.buffer = self.played = self.stalled = 0.0
-        self.rate, self.starved, self.moves = 0.0, False, 0
+        self.throughput, self.starved, self.moves = 0.0, False, 0
         self.rungs: list[int] = []
         self.statuses: list[int] = []
         self.read_at = float("-inf")
         self.pools: dict[Address, ConnectionPool] = {}
 
-    def again(self) -> None:
-        """Begin a new session, as a player does that is opened anew or goes to another front."""
-        self.sid, self.turn = f"{self.random.getrandbits(64):016x}", 0
+    def new_session(self) -> None:
+        """Begins a new session, as a player does that was restarted or that changes controllers."""
+        self.session_id, self.turn = f"{self.random.getrandbits(64):016x}", 0
         self.manifest, self.location = None, ""
 
     # Manifests.
 
     def join(self, patience: float = 5.0) -> Reply | None:
-        """The first manifest; its reply, None where none came in time."""
-        sign = "&" if "?" in self.target else "?"
-        return self._fetch(f"{self.target}{sign}session={self.sid}", patience)
+        """Fetches the first manifest; returns the reply, None if there was none in time."""
+        separator = "&" if "?" in self.target else "?"
+        return self._fetch(f"{self.target}{separator}session={self.session_id}", patience)
 
     def refresh(self, patience: float = 5.0) -> Reply | None:
+        """Fetches the session's manifest again; returns the reply, None if there was none in time."""
         return self._fetch(self.location, patience)
 
     def _fetch(self, target: str, patience: float) -> Reply | None:
@@ -88,20 +91,20 @@
             reply = request_once(self.front, "GET", target, self.headers, time_out=patience)
         except TimeoutError:
             kind = "gave-up"
-        except NETWORK as fault:
-            kind = f"broken: {fault!r}"[:80]
+        except NETWORK_ERRORS as error:
+            kind = f"broken: {error!r}"[:80]
         status = reply.status if reply else 0
         self.statuses.append(status)
         turn = int(reply.header("etag").strip('"')) if status == 200 else self.turn
         if status != 200 or turn >= self.turn:
-            # A viewing of its own, which this request made, or would have: one line each, as other clients.
-            self._told(f"{self.sid}/{turn}", began, status, kind, patience, reply)
+            # This request made a new viewing, or would have: logged as other clients log theirs.
+            self._log_request(f"{self.session_id}/{turn}", began, status, kind, patience, reply)
             self.turn = turn + 1
         if status == 200:
             self._read(reply)
         return reply
 
-    def _told(self, identity, began, status, kind, patience, reply) -> None:
+    def _log_request(self, identity, began, status, kind, patience, reply) -> None:
         self.log(
             self.name, "asked", identity=identity, target=self.target, patience=patience, front=self.front[1]
         )
@@ -113,83 +116,87 @@
         )  # fmt: skip
 
     def _read(self, reply: Reply) -> None:
-        before, self.manifest = self.manifest, read_manifest(reply.body, time.time())
+        previous, self.manifest = self.manifest, read_manifest(reply.body, time.time())
         self.location, self.read_at = self.manifest.location, self.clock()
-        if before is None:
-            # A live title is joined where a segment is whole; numbers are counted from the epoch.
-            self.next = self.manifest.count if self.manifest.live else max(1, self.next)
-        elif before.streamer != self.manifest.streamer:
+        if previous is None:
+            # A live title is joined at its latest complete segment; numbers count from the epoch.
+            self.next_segment = self.manifest.count if self.manifest.live else max(1, self.next_segment)
+        elif previous.streamer != self.manifest.streamer:
             self.moves += 1
 
     # Playing.
 
     def play(self, seconds: float) -> bool:
-        """Play for so long, or to the end of a recorded title; False if it had to give up."""
+        """Plays for that long, or to the end of a recorded title; returns False if it had to give up."""
         end = self.clock() + seconds
-        refused = 0
+        failures = 0
         while self.clock() < end:
-            m = self.manifest
-            if m is None or self.clock() - self.read_at >= m.update:
+            manifest = self.manifest
+            if manifest is None or self.clock() - self.read_at >= manifest.update:
                 reply = self.refresh() if self.location else self.join()
                 if reply is None or reply.status != 200:
-                    refused += 1
-                    if refused > 4 or (reply is not None and reply.status in (404, 410)):
+                    failures += 1
+                    if failures > MAX_REFRESH_FAILURES or (reply is not None and reply.status in (404, 410)):
                         return False
                     wait = float(reply.header("retry-after") or 0.3) if reply is not None else 0.3
-                    self._pass(min(wait, max(0.0, end - self.clock())))
-                    if m is None or reply is None or reply.status == 503:
+                    self._wait(min(wait, max(0.0, end - self.clock())))
+                    if manifest is None or reply is None or reply.status == 503:
                         continue
-                refused, m = 0, self.manifest
-            if not m.live and self.next > m.count:
+                failures, manifest = 0, self.manifest
+            if not manifest.live and self.next_segment > manifest.count:
                 return True
-            if self.buffer >= AHEAD:
-                self._pass(min(0.25, end - self.clock()))
+            if self.buffer >= MAX_BUFFER_SECONDS:
+                self._wait(min(0.25, end - self.clock()))
                 continue
-            if m.live and self.next > int(time.time() / m.segment):
-                self._pass(0.1)
+            if manifest.live and self.next_segment > int(time.time() / manifest.segment):
+                self._wait(0.1)
                 continue
-            if not self._segment(m):
-                self.read_at = float("-inf")  # ask for the manifest before anything else
-                self._pass(0.05)
+            if not self._fetch_segment(manifest):
+                self.read_at = float("-inf")  # fetch the manifest before anything else
+                self._wait(0.05)
         return True
 
-    def _segment(self, m: Manifest) -> bool:
-        rung = self._choose(m)
-        told = f'bl={int(self.buffer * 1000)},br={int(m.rates[rung] * 8)},sid="{self.sid}"'
-        told += ",bs" if self.starved else ""
-        pool = self.pools.setdefault(m.streamer, ConnectionPool(m.streamer, 0.5))
+    def _fetch_segment(self, manifest: Manifest) -> bool:
+        rung = self._choose_rung(manifest)
+        cmcd = f'bl={int(self.buffer * 1000)},br={int(manifest.rates[rung] * 8)},sid="{self.session_id}"'
+        cmcd += ",bs" if self.starved else ""
+        pool = self.pools.setdefault(manifest.streamer, ConnectionPool(manifest.streamer, 0.5))
         began = self.clock()
         try:
-            target = f"{m.base}{rung}/{self.next}.m4s?CMCD={quote(told)}"
-            reply = pool.call("GET", target, self.headers, b"", 4 * m.segment)
-        except NETWORK as fault:
-            self._use(self.clock() - began)
-            self.log(self.name, "segment-lost", cause=repr(fault)[:80])
+            target = f"{manifest.base}{rung}/{self.next_segment}.m4s?CMCD={quote(cmcd)}"
+            reply = pool.call("GET", target, self.headers, b"", 4 * manifest.segment)
+        except NETWORK_ERRORS as error:
+            self._use_buffer(self.clock() - began)
+            self.log(self.name, "segment-lost", cause=repr(error)[:80])
             return False
-        took = self.clock() - began
-        self._use(took)
+        elapsed = self.clock() - began
+        self._use_buffer(elapsed)
         self.statuses.append(reply.status)
         if reply.status != 200:
             self.log(self.name, "segment-refused", status=reply.status, kind=problem_kind(reply.body))
             return False
         self.starved = False
-        self.rate = m.rates[rung] * m.segment / max(took, 1e-3)
-        self.buffer += m.segment
-        self.next += 1
+        self.throughput = manifest.rates[rung] * manifest.segment / max(elapsed, 1e-3)
+        self.buffer += manifest.segment
+        self.next_segment += 1
         self.rungs.append(rung)
         return True
 
-    def _choose(self, m: Manifest) -> int:
-        """The highest rung that the measured throughput carries; the lowest first."""
-        fits = [rung for rung, rate in m.rates.items() if rate <= SAFE * self.rate]
-        return max(fits, default=min(m.rates))
+    def _choose_rung(self, manifest: Manifest) -> int:
+        """Returns the highest rung that the measured throughput carries, or the lowest if none fits."""
+        fits = [
+            rung
+            for rung, rate in manifest.rates.items()
+            if rate <= THROUGHPUT_SAFETY_FACTOR * self.throughput
+        ]
+        return max(fits, default=min(manifest.rates))
 
-    def _pass(self, seconds: float) -> None:
+    def _wait(self, seconds: float) -> None:
         gevent.sleep(max(0.0, seconds))
-        self._use(max(0.0, seconds))
+        self._use_buffer(max(0.0, seconds))
 
-    def _use(self, seconds: float) -> None:
-        """Time passes: the buffer is played, and what it does not hold is a stall once playing has begun."""
+    def _use_buffer(self, seconds: float) -> None:
+        """Plays the buffer for that long. What it does not hold counts as a stall once playing has begun."""
         used = min(self.buffer, seconds)
         self.buffer -= used
         self.played += used
@@ -198,8 +205,8 @@
             self.starved = True
 
     def delete(self) -> int:
-        """End the session; the status, 0 where none came."""
+        """Ends the session; returns the status, 0 without a reply."""
         try:
             return request_once(self.front, "DELETE", self.location, self.headers).status
-        except NETWORK:
+        except NETWORK_ERRORS:
             return 0
--- a/herongap/standins/segments.py
+++ b/herongap/standins/segments.py
@@ -46,7 +46,7 @@
         streamer = self.streamer
         _, title, token, rung, file = path
         if streamer.machine.muted():
-            peer.wait(streamer.cut_off, 600.0)
+            peer.wait(streamer.stopped, 600.0)
             raise PeerDisconnectedError
         try:
             grant = self._verify(token, title)
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -1,6 +1,4 @@
-"""One stand-in streamer: WHIP and WHEP resources, layers, event stream, load, and faults set while it
-runs.
-"""
+"""A fake streamer: WHIP and WHEP resources, layers, event stream, load reports, and fault injection."""
 
 import json
 from contextlib import suppress
@@ -23,12 +21,15 @@
 from herongap.whep.events import HEARTBEAT
 from herongap.whip import EVENTS_EXTENSION, LAYERS_EXTENSION, SessionResource, check_offer, created_reply
 
-BEAT = 0.8  # seconds between heartbeats of an event stream
+HEARTBEAT_INTERVAL_SECONDS = 0.8  # of an event stream
+HANG_SECONDS = 600.0
+RECONNECT_GRACE_SECONDS = 2.0  # for a controller whose event stream has closed
+SHORT_DELIVERY_SHARE = 0.98  # a lower share is reported
 FINGERPRINT = ":".join(["5E"] * 32)
 
 
 class Streamer:
-    """Listens on loopback; `titles` names what it holds, None for everything."""
+    """Listens on loopback. `titles` are the titles that it holds, None for all."""
 
     def __init__(
         self,
@@ -59,30 +60,30 @@
     def sessions(self) -> dict[str, Session]:
         return self.machine.sessions
 
-    # Its process.
+    # Process.
 
     def up(self) -> None:
-        """Start the process: listen for HTTP, and for consent on UDP of the same address."""
+        """Starts the process: listens for HTTP, and for consent checks on a UDP port."""
         listener = listen(self.address)
         self.address = listener.getsockname()
         self.server = Server(listener, self.handle, ProcessLimits(idle_seconds=120.0, body=1 << 20))
         self.media = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.media.bind(("127.0.0.1", 0))
         self.boot += 1
-        self.cut_off = Event()
-        self._greenlets = [gevent.spawn(self._consent), gevent.spawn(self._report)]
+        self.stopped = Event()
+        self._greenlets = [gevent.spawn(self._answer_consent), gevent.spawn(self._report_load)]
         self.running = True
         self.log(self.name, "up", boot=self.boot, cold=self.machine.started is not None)
 
     def die(self) -> None:
-        """The process ends: connections are reset, what it played is gone."""
+        """Ends the process: its connections are reset and its sessions are lost."""
         if not self.running:
             return
         self.running = False
         self.log(self.name, "down")
         for session in list(self.sessions.values()):
-            self.end(session, "died", tell=False)
-        self.cut_off.set()
+            self.end(session, "died", notify=False)
+        self.stopped.set()
         self.server.close()
         self.media.close()
         for greenlet in self._greenlets:
@@ -90,7 +91,7 @@
         self.streams.clear()
 
     def order(self, order: dict) -> None:
-        """A fault begins or ends, or the process comes or goes."""
+        """Carries out an order: a fault begins or ends, or the process starts or stops."""
         if order["do"] == "fronts":
             self.segments.controllers = [tuple(address) for address in order["at"]]
             return
@@ -101,18 +102,20 @@
             self.up()
 
     def sweep(self, now: float) -> None:
-        """End the sessions whose viewers are no longer there, or never came."""
-        k = self.kind
-        for s in list(self.sessions.values()):
-            last = s.began + k.join_wait - k.consent if s.consent is None else s.consent
-            if now - last > k.consent:
-                self.end(s, "viewer-gone")
+        """Ends the sessions whose viewers have left or never joined."""
+        kind = self.kind
+        for session in list(self.sessions.values()):
+            last = (
+                session.began + kind.join_wait - kind.consent if session.consent is None else session.consent
+            )
+            if now - last > kind.consent:
+                self.end(session, "viewer-gone")
 
     # Faults.
 
-    def _stand_still(self, peer: Peer, identity: str = "") -> None:
-        """Take and never answer, until the caller hangs up."""
-        peer.wait(self.cut_off, 600.0)
+    def _hang(self, peer: Peer, identity: str = "") -> None:
+        """Leaves the request unanswered until the caller hangs up."""
+        peer.wait(self.stopped, HANG_SECONDS)
         if identity:
             self.log(self.name, "hung-up", identity=identity)
         raise PeerDisconnectedError
@@ -120,6 +123,7 @@
     # HTTP.
 
     def handle(self, request: Request, peer: Peer) -> Reply:
+        """Handles one request."""
         front = request.headers.get("via", "").split(" ")[-1]
         path = request.path
         if len(path) == 2 and path[0] in ("whip", "whep", "dash") and request.method == "POST":
@@ -127,9 +131,9 @@
         if len(path) == 5 and path[0] == "dash" and request.method == "GET":
             return self.segments.serve(path, request, peer)
         if self.machine.muted(front):
-            if request.method == "DELETE" and len(path) > 1 and (asked := self.sessions.get(path[1])):
-                self.log(self.name, "let-go", identity=asked.identity, session=asked.name)
-            self._stand_still(peer)
+            if request.method == "DELETE" and len(path) > 1 and (target := self.sessions.get(path[1])):
+                self.log(self.name, "let-go", identity=target.identity, session=target.name)
+            self._hang(peer)
         if request.method == "OPTIONS":
             return Reply(200, (("Accept-Post", SDP), self._load_header()))
         if path[0] == "events":
@@ -143,7 +147,7 @@
             return session.resource.patch(request, self._endpoint(session.resource.restarts + 1))
         if request.method == "DELETE":
             self.log(self.name, "delete", identity=session.identity, session=session.name)
-            self.end(session, "deleted", tell=False)
+            self.end(session, "deleted", notify=False)
             return Reply(200)
         return problem("bad-method")
 
@@ -165,55 +169,55 @@
             rung=int(layer),
             cold=self.machine.warmth(self.clock()) < 1,
         )
-        most = self.machine.knock(self.clock())
-        if most is not None:
-            self.log(self.name, "fell", set_ups=len(self.machine.set_ups), most=most)
+        limit = self.machine.knock(self.clock())
+        if limit is not None:
+            self.log(self.name, "fell", set_ups=len(self.machine.set_ups), most=limit)
         if self.machine.muted(front):
-            self._stand_still(peer, identity)
+            self._hang(peer, identity)
         if self.titles is not None and title not in self.titles:
-            return self._refuse(identity, problem("no-such-title"))
+            return self._reject(identity, problem("no-such-title"))
         delay = self.pool.random.uniform(*self.kind.set_up)
         if slow := self.faults.get("slow"):
             delay += slow["by"]
-        if not self._pause(peer, delay, identity):
+        if not self._delay(peer, delay, identity):
             raise PeerDisconnectedError
-        if (bad := self.faults.get("fail")) and self.pool.random.random() < bad.get("part", 1.0):
-            return self._refuse(identity, problem("internal"))
+        if (failure := self.faults.get("fail")) and self.pool.random.random() < failure.get("part", 1.0):
+            return self._reject(identity, problem("internal"))
         if self.machine.fallen or not self.running:
-            return self._refuse(identity, problem("internal", "fell over"))
+            return self._reject(identity, problem("internal", "fell over"))
         if self.machine.full():
-            return self._refuse(identity, problem("blocked"), self._load_header())
-        named = request.headers.get("idempotency-key", "").strip('"')
-        return self._start(offer, identity, title, int(layer), front, protocol, peer, named)
+            return self._reject(identity, problem("blocked"), self._load_header())
+        viewing = request.headers.get("idempotency-key", "").strip('"')
+        return self._start(offer, identity, title, int(layer), front, protocol, peer, viewing)
 
-    def _pause(self, peer: Peer, delay: float, identity: str) -> bool:
-        if peer.wait(self.cut_off, delay) or peer.gone:
+    def _delay(self, peer: Peer, delay: float, identity: str) -> bool:
+        if peer.wait(self.stopped, delay) or peer.gone:
             self.log(self.name, "hung-up", identity=identity)
             return False
         return True
 
-    def _refuse(self, identity: str, reply: Reply, *headers) -> Reply:
+    def _reject(self, identity: str, reply: Reply, *headers) -> Reply:
         self.log(self.name, "refused", identity=identity, status=reply.status)
         return reply._replace(headers=(*reply.headers, *headers))
 
-    def _start(self, offer, identity, title, rung, front, protocol, peer, named) -> Reply:
+    def _start(self, offer, identity, title, rung, front, protocol, peer, viewing) -> Reply:
         self.count += 1
         name = f"{self.boot}-{self.count}"
         session, text, tag = Session(name, identity, title, rung, front, self.clock()), "{}", f'"{name}"'
         if offer is None:
-            self.segments.by_viewing[named] = session
+            self.segments.by_viewing[viewing] = session
         else:
-            me = self._endpoint(0)
+            local = self._endpoint(0)
             try:
-                text = create_answer(offer, me)
-            except SdpError as fault:
-                return self._refuse(identity, problem("offer-refused", str(fault)))
-            session.resource = SessionResource(name, offer.identity[1], me)
+                text = create_answer(offer, local)
+            except SdpError as error:
+                return self._reject(identity, problem("offer-refused", str(error)))
+            session.resource = SessionResource(name, offer.identity[1], local)
             tag = session.resource.etag
         self.machine.begin(self.clock(), session)
         self.log(self.name, "started", identity=identity, session=name, front=front, title=title, rung=rung)
         if "lose" in self.faults:
-            # The session runs, its answer never arrives: what the caller cannot tell from one that never ran.
+            # The session runs but its answer is lost. The caller cannot tell this from a set-up that failed.
             self.log(self.name, "unanswered", identity=identity, session=name)
             with suppress(OSError):
                 peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -244,15 +248,15 @@
     def _layer(self, session: Session, request: Request) -> Reply:
         try:
             rung = read_layer(request.body, len(self.kind.ladder))
-        except ValueError as fault:
-            return problem("bad-request", str(fault))
+        except ValueError as error:
+            return problem("bad-request", str(error))
         self.log(self.name, "rung", identity=session.identity, session=session.name, rung=rung)
         self.machine.step(self.clock(), session, rung)
         return Reply(200)
 
-    def end(self, session: Session, reason: str, tell: bool = True) -> None:
-        """A session ends; its front hears of it where it did not ask for it."""
-        if (got := self.machine.finish(self.clock(), session)) is None:
+    def end(self, session: Session, reason: str, notify: bool = True) -> None:
+        """Ends a session, and notifies its controller unless the controller requested this."""
+        if (usage := self.machine.finish(self.clock(), session)) is None:
             return
         self.log(
             self.name,
@@ -260,18 +264,18 @@
             identity=session.identity,
             session=session.name,
             reason=reason,
-            seconds=round(got[0], 2),
-            earned=round(got[1], 3),
+            seconds=round(usage[0], 2),
+            earned=round(usage[1], 3),
             joined=session.consent is not None,
         )
-        if tell:
-            self._tell("inactive", {"resource": f"/r/{session.name}", "reason": reason}, session.front)
+        if notify:
+            self._send_event("inactive", {"resource": f"/r/{session.name}", "reason": reason}, session.front)
 
-    # The event streams, one a front.
+    # Event streams, one for each controller.
 
     def _events(self, path: list[str], request: Request, peer: Peer) -> Reply:
         if len(path) == 2 and request.method == "POST":
-            if not any(s.front == path[1] for s in self.sessions.values()):
+            if not any(session.front == path[1] for session in self.sessions.values()):
                 return problem("no-such-session")
             return Reply(201, (("Location", f"/events/{path[1]}/{self.boot}"),))
         if len(path) == 3 and request.method == "GET" and path[2] == str(self.boot):
@@ -285,75 +289,80 @@
             yield HEARTBEAT
             while self.running and self.boot == boot:
                 try:
-                    chunk = queue.get(timeout=BEAT)
+                    chunk = queue.get(timeout=HEARTBEAT_INTERVAL_SECONDS)
                 except Empty:
                     chunk = HEARTBEAT
                 if not self.machine.muted(front):
                     yield chunk
         finally:
-            # A front whose stream is gone is gone: what it held ends with it, unless it comes back at once.
+            # A controller whose stream has closed counts as gone: its sessions end unless it reconnects soon.
             if queue in self.streams.get(front, ()):
                 self.streams[front].remove(queue)
             if self.running and self.boot == boot:
-                gevent.spawn_later(2.0, self._front_gone, front, boot)
+                gevent.spawn_later(RECONNECT_GRACE_SECONDS, self._controller_gone, front, boot)
 
-    def _front_gone(self, front: str, boot: int) -> None:
+    def _controller_gone(self, front: str, boot: int) -> None:
         if (
             self.running
             and self.boot == boot
             and not self.streams.get(front)
             and not self.machine.muted(front)
         ):
-            for session in [s for s in self.sessions.values() if s.front == front]:
+            for session in [session for session in self.sessions.values() if session.front == front]:
                 self.end(session, "front-gone")
 
-    def _tell(self, name: str, data: dict, front: str | None = None) -> None:
-        for to, queues in self.streams.items():
-            if front in (None, to):
+    def _send_event(self, name: str, data: dict, front: str | None = None) -> None:
+        for recipient, queues in self.streams.items():
+            if front in (None, recipient):
                 for queue in queues:
                     queue.put(write_event(name, data))
 
-    def _note(self, name: str, data: dict) -> None:
-        lost = self.faults.get("notes_lost")
-        if lost is None or self.pool.random.random() >= lost["part"]:
-            self._tell(name, data)
+    def _send_report(self, name: str, data: dict) -> None:
+        loss = self.faults.get("notes_lost")
+        if loss is None or self.pool.random.random() >= loss["part"]:
+            self._send_event(name, data)
 
-    def _report(self) -> None:
-        """Load every `tell` seconds; the share delivered each second while it is short, and once more
-        after.
+    def _report_load(self) -> None:
+        """Reports the load every `tell` seconds, and the delivered share each second while it is short and
+        once after.
         """
-        told = self.clock() + self.pool.random.uniform(0, self.kind.tell)
+        next_load = self.clock() + self.pool.random.uniform(0, self.kind.tell)
         while True:
             gevent.sleep(1.0)
-            late = self.kind.told_late + self.faults.get("late", {}).get("by", 0.0)
+            delay = self.kind.told_late + self.faults.get("late", {}).get("by", 0.0)
             now = self.clock()
-            share = self.machine.share_at(now - late)
-            if share < 0.98 or self._short:
-                self._note("delivery", {"share": round(share, 4)})
-            self._short = share < 0.98
-            if now >= told:
-                told = now + self.kind.tell
-                load = self.machine.load(now - late)
-                self._note("load", {"link": round(load.link, 4), "rack": round(load.rack, 4)})
-
-    def _consent(self) -> None:
+            share = self.machine.share_at(now - delay)
+            if share < SHORT_DELIVERY_SHARE or self._short:
+                self._send_report("delivery", {"share": round(share, 4)})
+            self._short = share < SHORT_DELIVERY_SHARE
+            if now >= next_load:
+                next_load = now + self.kind.tell
+                load = self.machine.load(now - delay)
+                self._send_report("load", {"link": round(load.link, 4), "rack": round(load.rack, 4)})
+
+    def _answer_consent(self) -> None:
         while True:
             try:
                 packet, sender = self.media.recvfrom(2048)
             except OSError:
-                return  # the process ended
+                return  # the process has ended
             message = stun.read(packet)
-            if message is None or message[0] != 0x0001 or "silent" in self.faults or "hang" in self.faults:
+            if (
+                message is None
+                or message[0] != stun.BINDING_REQUEST
+                or "silent" in self.faults
+                or "hang" in self.faults
+            ):
                 continue
-            mine = message[2].partition(":")[0]
+            ufrag = message[2].partition(":")[0]
             for session in self.sessions.values():
-                if session.resource and session.resource.local.ufrag == mine:
+                if session.resource and session.resource.local.ufrag == ufrag:
                     session.consent = self.clock()
                     self.media.sendto(stun.success(message[1]), sender)
                     break
 
 
 def run_orders(pool, lines) -> None:
-    """Carry out orders, one JSON object a line, until the end of input."""
+    """Carries out orders, one JSON object a line, until the end of input."""
     for line in lines:
         pool.carry_out(json.loads(line))
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -1,4 +1,4 @@
-"""Scripted viewers and publishers: one offer, patience, consent while they play, teardown, coming again."""
+"""Scripted viewers and publishers: an offer with a timeout, consent while they play, teardown and retry."""
 
 import random
 import time
@@ -18,7 +18,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """What came of one POST: the status (0: none came), the problem's kind, seconds it took."""
+    """The result of one POST: its status (0 without a reply), the kind of problem and the seconds taken."""
 
     status: int
     kind: str
@@ -27,7 +27,7 @@
 
 
 class Viewer:
-    """One client. `name` makes its offer's identity; `again` makes a new offer for it."""
+    """One client. Its name and the seed determine its offers; `new_offer` replaces the current one."""
 
     def __init__(
         self,
@@ -44,23 +44,23 @@
         self.headers, self.direction, self.clock = list(headers), direction, clock
         self.random = random.Random(f"{seed} {name}")
         self.turn, self.location, self.tag, self.peer = 0, "", "", None
-        self.again()
+        self.new_offer()
 
-    def again(self) -> None:
-        """Make a new offer, as a client that comes again does."""
+    def new_offer(self) -> None:
+        """Makes a new offer, as a client that retries does."""
         self.turn += 1
         number = self.random.getrandbits(52)
-        mark = ":".join(f"{self.random.getrandbits(8):02X}" for _ in range(32))
-        self.me = Endpoint(f"v{number:x}", f"{number:x}".rjust(24, "p"), mark, "127.0.0.1", 9, number)
+        fingerprint = ":".join(f"{self.random.getrandbits(8):02X}" for _ in range(32))
+        self.me = Endpoint(f"v{number:x}", f"{number:x}".rjust(24, "p"), fingerprint, "127.0.0.1", 9, number)
         self.offer = create_offer(self.me, self.direction)
-        # As herongap.sdp reads it from the offer: what joins the viewer's log to the streamers'.
-        self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {mark}"
+        # As herongap.sdp reads it from the offer. It joins the viewer's log to the streamers' logs.
+        self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {fingerprint}"
 
     def post(self, patience: float, hang_up: float | None = None) -> AttemptResult:
-        """POST the offer and wait for the answer; `hang_up` seconds in, hang up instead."""
+        """Posts the offer and waits for the answer, or hangs up after `hang_up` seconds."""
         began = self.clock()
-        asked = dict(identity=self.identity, target=self.target, patience=patience, front=self.front[1])
-        self.log(self.name, "asked", **asked)
+        request = dict(identity=self.identity, target=self.target, patience=patience, front=self.front[1])
+        self.log(self.name, "asked", **request)
         status, kind, reply, call = 0, "", None, None
         try:
             call = ClientConnection(self.front, 2.0)
@@ -69,53 +69,54 @@
             status, kind = reply.status, problem_kind(reply.body)
         except TimeoutError:
             kind = "gave-up" if hang_up is None else "hung-up"
-        except (OSError, h11.ProtocolError) as fault:
-            kind = f"broken: {fault!r}"[:80]
+        except (OSError, h11.ProtocolError) as error:
+            kind = f"broken: {error!r}"[:80]
         finally:
             if call:
                 call.close()
         if status == 201:
             self.location, self.tag = reply.header("location"), reply.header("etag")
-            candidate = sdp_transform.parse(reply.body.decode())["media"][0]
-            self.peer = (candidate["candidates"][0]["ip"], candidate["candidates"][0]["port"])
-            self.far = str(candidate["iceUfrag"])
-        taken = self.clock() - began
+            media = sdp_transform.parse(reply.body.decode())["media"][0]
+            self.peer = (media["candidates"][0]["ip"], media["candidates"][0]["port"])
+            self.remote_ufrag = str(media["iceUfrag"])
+        elapsed = self.clock() - began
         self.log(
             self.name, "answered", identity=self.identity, asked=began, status=status, kind=kind,
-            taken=round(taken, 4), front=self.front[1], location=self.location if status == 201 else "",
+            taken=round(elapsed, 4), front=self.front[1], location=self.location if status == 201 else "",
         )  # fmt: skip
-        return AttemptResult(status, kind, taken, reply)
+        return AttemptResult(status, kind, elapsed, reply)
 
     def play(self, seconds: float, lost_after: float = 4.0) -> bool:
-        """Send consent each second while playing; False if the streamer stops answering it."""
+        """Sends a consent check each second while playing; returns False if the streamer stops answering."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        until = heard = self.clock()
-        until += seconds
+        end = last_answer = self.clock()
+        end += seconds
         try:
-            while self.clock() < until:
+            while self.clock() < end:
                 with suppress(OSError):
-                    sock.sendto(stun.request(self.far, self.me.ufrag), self.peer)
-                    sock.settimeout(max(0.01, min(1.0, until - self.clock())))
+                    sock.sendto(stun.request(self.remote_ufrag, self.me.ufrag), self.peer)
+                    sock.settimeout(max(0.01, min(1.0, end - self.clock())))
                     sock.recv(2048)
-                    heard = self.clock()
-                    gevent.sleep(max(0.0, min(1.0, until - self.clock())))
-                if self.clock() - heard > lost_after:
+                    last_answer = self.clock()
+                    gevent.sleep(max(0.0, min(1.0, end - self.clock())))
+                if self.clock() - last_answer > lost_after:
                     return False
             return True
         finally:
             sock.close()
 
     def call(self, method: str, headers=(), body: bytes = b"", target: str | None = None) -> Reply:
-        """Any other request to the front."""
+        """Sends any other request to the controller, by default to the session."""
         target = self.location if target is None else target
         return request_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
 
     def trickle(self, tag: str | None = None) -> Reply:
+        """Sends one more ICE candidate."""
         fragment = Fragment(self.me.ufrag, self.me.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False)
         return self._patch(fragment, tag or self.tag)
 
     def restart_ice(self) -> Reply:
-        """New credentials under If-Match: *."""
+        """Restarts ICE with a new ufrag, under If-Match: *."""
         reply = self._patch(Fragment(self.me.ufrag + "r", self.me.pwd, (), False), "*")
         if reply.status == 200:
             self.me = self.me._replace(ufrag=self.me.ufrag + "r")
@@ -127,7 +128,7 @@
         return self.call("PATCH", headers, write_fragment(fragment))
 
     def delete(self) -> int:
-        """End the session; the status, 0 where none came."""
+        """Ends the session; returns the status, 0 without a reply."""
         self.log(self.name, "deleting", identity=self.identity)
         try:
             return self.call("DELETE").status
