--- a/herongap/rehearsal/__init__.py
+++ b/herongap/rehearsal/__init__.py
@@ -1,6 +1,6 @@
-"""Scripted days against real controllers on loopback; the rules are checked from the logs of their sockets.
+"""Rehearsals: scripted days against real controllers on loopback, checked by the logs of their peers.
 
-The checker (`herongap.fleet.checker`) reads only what the stand-in streamers and the clients saw.
+The checker (`herongap.fleet.checker`) reads only the logs of the fake streamers and the clients.
 """
 
 from herongap.rehearsal.bench import UnsupportedTroubleError, from_bench
--- a/herongap/rehearsal/controller.py
+++ b/herongap/rehearsal/controller.py
@@ -1,5 +1,6 @@
-"""The process of one controller of a rehearsal: the daemon as `herongap serve` runs it, with a policy by
-name. Orders on standard input, one JSON object a line, make its clocks wrong.
+"""The process of one controller of a rehearsal: the daemon as `herongap serve` runs it, with a named policy.
+
+Orders on standard input, one JSON object a line, skew its clocks.
 """
 
 import json
@@ -17,30 +18,32 @@
 
 
 class Clock:
-    """The machine's clock as this process has it: it may run fast or slow, and never jumps."""
+    """A monotonic clock that can run fast or slow, and never jumps."""
 
     def __init__(self):
-        self.rate, self.at = 1.0, time.monotonic()
-        self.shown = self.at
+        self.rate, self.real_base = 1.0, time.monotonic()
+        self.shown_base = self.real_base
 
     def __call__(self) -> float:
-        return self.shown + (time.monotonic() - self.at) * self.rate
+        return self.shown_base + (time.monotonic() - self.real_base) * self.rate
 
     def run_at(self, rate: float) -> None:
-        self.shown, self.at, self.rate = self(), time.monotonic(), rate
+        """Runs at this many seconds for each real second from now on."""
+        self.shown_base, self.real_base, self.rate = self(), time.monotonic(), rate
 
 
 def follow_orders(clock: Clock) -> None:
-    """{"rate": 1.05} of the clock that only runs forward, {"step": 3.0} seconds of the wall clock."""
-    right, stepped = time.time, 0.0
+    """Carries out orders: {"rate": 1.05} of the monotonic clock, {"step": 3.0} seconds of the wall clock."""
+    real_time, offset = time.time, 0.0
     for line in FileObject(sys.stdin.buffer, "rb"):
         order = json.loads(line)
         clock.run_at(order.get("rate", clock.rate))
-        stepped += order.get("step", 0.0)
-        time.time = lambda by=stepped: right() + by
+        offset += order.get("step", 0.0)
+        time.time = lambda by=offset: real_time() + by
 
 
 def main(file: str, policy: str) -> None:
+    """Runs the daemon with the configuration of a file and a policy of `herongap.fleet.baselines`."""
     site = read_site(Path(file))
     observe.set_up(site.front.log_level, site.front.log_format, site.front.log_to)
     clock = Clock()
--- a/herongap/rehearsal/datagrams.py
+++ b/herongap/rehearsal/datagrams.py
@@ -1,7 +1,7 @@
-"""A relay for datagrams before each controller: what one says to another is lost, doubled, late, or passed.
+"""A UDP relay in front of each controller, which drops, duplicates or delays gossip datagrams.
 
-Controllers name the relay's address as theirs (`[gossip] advertise`), so that whatever any other says to one
-comes by here. Who says it is read from the datagram itself.
+Controllers advertise the relay's address as their own (`[gossip] advertise`), so every datagram to them
+passes through it. The sender is read from the datagram itself.
 """
 
 from collections import Counter
@@ -14,11 +14,13 @@
 
 from herongap.gossip import InvalidDatagram, decode
 
-Pair = tuple[int, int]
+MAX_DATAGRAM_BYTES = 65536
+
+Pair = tuple[int, int]  # numbers of the sending and the receiving controller
 
 
 class LinkFaults(NamedTuple):
-    """How datagrams of one pair fare: shares that are lost and doubled; seconds of delay, least and most."""
+    """Faults between two controllers: shares lost and duplicated, least and greatest delay in seconds."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -26,75 +28,77 @@
 
 
 class DatagramRelay:
-    """The relays of a fleet of that name. `ways` holds what is not sound, by (from, to); `seen` counts."""
+    """The relays of one fleet. `faults` are by (sender, receiver); `counts` are of datagrams by outcome."""
 
     def __init__(self, fleet: str, seed: int):
-        self.fleet, self.draw = fleet, Random(seed)
+        self.fleet, self.random = fleet, Random(seed)
         self.faults: dict[Pair, LinkFaults] = {}
         self.counts: Counter = Counter()
         self.sockets: dict[int, socket.socket] = {}
-        self.real: dict[int, tuple[str, int]] = {}
+        self.targets: dict[int, tuple[str, int]] = {}
         self._greenlets: list = []
 
-    def add(self, number: int, real: tuple[str, int]) -> tuple[str, int]:
-        """A relay before the controller that listens at `real`; the address to be advertised."""
+    def add(self, number: int, target: tuple[str, int]) -> tuple[str, int]:
+        """Adds a relay to the controller that listens at `target`; returns the address to advertise."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
-        self.sockets[number], self.real[number] = sock, real
-        self._greenlets.append(gevent.spawn(self._carry, number))
+        self.sockets[number], self.targets[number] = sock, target
+        self._greenlets.append(gevent.spawn(self._relay, number))
         return sock.getsockname()
 
     def set_faults(self, faults: LinkFaults, pairs: Iterable[Pair]) -> None:
-        """From now on, these pairs fare so."""
+        """Sets the faults of these pairs from now on."""
         self.faults |= dict.fromkeys(pairs, faults)
 
     def cut(self, pairs: Iterable[Pair]) -> None:
-        """Nothing gets through from the first to the second of each pair."""
+        """Drops every datagram from the first to the second of each pair."""
         self.set_faults(LinkFaults(loss=1.0), pairs)
 
     def clear_faults(self) -> None:
-        """All is well again."""
+        """Removes all faults."""
         self.faults.clear()
 
-    def pairs_between(self, one: Iterable[int]) -> list[Pair]:
-        """All pairs, both ways, between these controllers and the others."""
-        one = set(one)
-        return [(a, b) for a in self.sockets for b in self.sockets if (a in one) != (b in one)]
+    def pairs_between(self, group: Iterable[int]) -> list[Pair]:
+        """Returns all pairs, in both directions, between these controllers and the others."""
+        group = set(group)
+        return [(a, b) for a in self.sockets for b in self.sockets if (a in group) != (b in group)]
 
     def pairs(self) -> list[Pair]:
+        """Returns all pairs of two different controllers."""
         return [(a, b) for a in self.sockets for b in self.sockets if a != b]
 
-    def _carry(self, number: int) -> None:
+    def _relay(self, number: int) -> None:
         sock = self.sockets[number]
         while True:
             try:
-                data, _ = sock.recvfrom(65536)
+                data, _ = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             try:
                 faults = self.faults.get((decode(data, self.fleet).sender, number), LinkFaults())
             except InvalidDatagram:
-                faults = LinkFaults()  # noise is carried as it is
-            if self.draw.random() < faults.loss:
+                faults = LinkFaults()  # an invalid datagram is relayed without faults
+            if self.random.random() < faults.loss:
                 self.counts["lost"] += 1
                 continue
-            times = 1 + (self.draw.random() < faults.duplication)
-            self.counts["doubled"] += times - 1
-            for _ in range(times):
-                wait = self.draw.uniform(*faults.delay)
-                self.counts["late" if wait else "passed"] += 1
-                if wait:
-                    gevent.spawn_later(wait, self._pass, number, data)
+            copies = 1 + (self.random.random() < faults.duplication)
+            self.counts["doubled"] += copies - 1
+            for _ in range(copies):
+                delay = self.random.uniform(*faults.delay)
+                self.counts["late" if delay else "passed"] += 1
+                if delay:
+                    gevent.spawn_later(delay, self._deliver, number, data)
                 else:
-                    self._pass(number, data)
+                    self._deliver(number, data)
 
-    def _pass(self, number: int, data: bytes) -> None:
+    def _deliver(self, number: int, data: bytes) -> None:
         try:
-            self.sockets[number].sendto(data, self.real[number])
+            self.sockets[number].sendto(data, self.targets[number])
         except OSError:
-            self.counts["nobody"] += 1
+            self.counts["unreachable"] += 1
 
     def close(self) -> None:
+        """Stops all relays."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
         for sock in self.sockets.values():
--- a/herongap/rehearsal/errors.py
+++ b/herongap/rehearsal/errors.py
@@ -1,9 +1,9 @@
-"""The errors of a rehearsal."""
+"""Errors of rehearsals."""
 
 from herongap.errors import HerongapError
 
 
 class RehearsalError(HerongapError):
-    """A rehearsal that cannot be played."""
+    """The rehearsal cannot be run."""
 
-    advice = "see the log in its folder, and the day file"
+    advice = "see the log in the rehearsal's folder, and the day file"
--- a/herongap/rehearsal/farm.py
+++ b/herongap/rehearsal/farm.py
@@ -1,4 +1,4 @@
-"""The process of a rehearsal's stand-in streamers: orders on standard input, one JSON object a line."""
+"""The process of a rehearsal's fake streamers: orders on standard input, one JSON object a line."""
 
 import json
 import sys
@@ -11,15 +11,15 @@
 
 
 def main(file: str) -> None:
-    """Start what FILE describes, print the addresses, and follow orders until the end of input."""
+    """Starts the streamers of a file, prints their addresses, and carries out orders until EOF."""
     with open(file, encoding="utf-8") as text:
-        what = json.load(text)
-    kind = what["kind"]
-    with open(what["log"], "w", encoding="utf-8", buffering=1 << 16) as log:
-        pool = StreamerPool(Kind(**kind), Log(log.write), what["seed"])
-        for name, zone, rack in what["streamers"]:
+        config = json.load(text)
+    kind = config["kind"]
+    with open(config["log"], "w", encoding="utf-8", buffering=1 << 16) as log:
+        pool = StreamerPool(Kind(**kind), Log(log.write), config["seed"])
+        for name, zone, rack in config["streamers"]:
             Streamer(pool, name, zone, rack)
-        print(json.dumps({name: st.address for name, st in pool.streamers.items()}), flush=True)
+        print(json.dumps({name: streamer.address for name, streamer in pool.streamers.items()}), flush=True)
         for line in FileObject(sys.stdin.buffer, "rb"):
             pool.carry_out(json.loads(line))
         gevent.sleep(0.2)
--- a/herongap/rehearsal/relay.py
+++ b/herongap/rehearsal/relay.py
@@ -1,4 +1,4 @@
-"""The network between one controller and one member of the store, which can fail."""
+"""A TCP relay between a controller and a member of the store, with fault injection."""
 
 import struct
 from contextlib import suppress
@@ -10,68 +10,73 @@
 
 from herongap.daemon.http_connection import Address
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing tells the other side of it as a reset
-CHUNK = 65536
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: close sends a reset
+CHUNK_BYTES = 65536
 
 
 class Relay:
-    """Bytes pass both ways, unless told otherwise.
+    """Relays bytes both ways until a fault begins. The faults are:
 
-    `cut`: neither way; `oneway`: requests arrive, answers do not; what was held back comes when that ends, as
-    after a partition. `slow`: answers come so many seconds later. `reset`: the connection is reset where an
-    answer was about to pass, so its request has been read.
+    - `cut`: nothing passes; `oneway`: requests pass, replies do not. Held bytes pass when the fault ends, as
+      after a network partition.
+    - `slow`: each reply is delayed by a number of seconds
+    - `reset`: the connection is reset when a reply is about to pass, so the request has been received
     """
 
-    def __init__(self, to: Address):
-        self.to, self.troubles, self.changed = to, {}, Event()
+    def __init__(self, target: Address):
+        self.target, self.faults, self.changed = target, {}, Event()
         self.resets = 0
         self.server = StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
         self.address = self.server.address
 
-    def begin(self, trouble: str, by: float = 0.0) -> None:
-        """Several at a time, each until its own end."""
-        self.troubles[trouble] = by
+    def begin(self, fault: str, by: float = 0.0) -> None:
+        """Begins a fault; several may be active at a time. `by` is the delay in seconds."""
+        self.faults[fault] = by
 
-    def end(self, trouble: str) -> None:
-        self.troubles.pop(trouble, None)
+    def end(self, fault: str) -> None:
+        """Ends a fault and lets held bytes pass."""
+        self.faults.pop(fault, None)
         changed, self.changed = self.changed, Event()
         changed.set()
 
     def close(self) -> None:
+        """Stops the relay."""
         self.server.stop()
 
-    def _serve(self, near: socket.socket, _) -> None:
-        self._held("cut")
+    def _serve(self, client: socket.socket, _) -> None:
+        self._wait_while("cut")
         try:
-            far = socket.create_connection(self.to, 2.0)
+            server = socket.create_connection(self.target, 2.0)
         except OSError:
-            near.close()
+            client.close()
             return
-        for sock in (near, far):
+        for sock in (client, server):
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        up = gevent.spawn(self._pass, near, far, ("cut",))
-        self._pass(far, near, ("cut", "oneway"), answers=True)
-        up.kill()
+        requests = gevent.spawn(self._forward, client, server, ("cut",))
+        self._forward(server, client, ("cut", "oneway"), replies=True)
+        requests.kill()
 
-    def _pass(self, a: socket.socket, b: socket.socket, held_by: tuple, answers: bool = False) -> None:
+    def _forward(
+        self, source: socket.socket, target: socket.socket, held_by: tuple, replies: bool = False
+    ) -> None:
         with suppress(OSError):
-            while data := a.recv(CHUNK):
-                if answers and "reset" in self.troubles:
+            while data := source.recv(CHUNK_BYTES):
+                if replies and "reset" in self.faults:
                     self.resets += 1
-                    b.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    target.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                     break
-                self._held(*held_by)
-                if answers and (by := self.troubles.get("slow")):
-                    gevent.sleep(by)
-                b.sendall(data)
-        self._held(*held_by)
-        for sock in (a, b):
+                self._wait_while(*held_by)
+                if replies and (delay := self.faults.get("slow")):
+                    gevent.sleep(delay)
+                target.sendall(data)
+        self._wait_while(*held_by)
+        for sock in (source, target):
             with suppress(OSError):
-                sock.shutdown(socket.SHUT_RDWR) if "reset" not in self.troubles else None
+                sock.shutdown(socket.SHUT_RDWR) if "reset" not in self.faults else None
             sock.close()
 
-    def _held(self, *by: str) -> None:
-        while any(trouble in self.troubles for trouble in by):
+    def _wait_while(self, *faults: str) -> None:
+        while any(fault in self.faults for fault in faults):
             self.changed.wait(0.5)
--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -1,4 +1,7 @@
-"""Plays a script: streamers in a process, controllers in theirs, viewers here; all logs carry one clock."""
+"""Runs a rehearsal: the streamers in one process, each controller in its own, the viewers in this one.
+
+All logs use the same clock.
+"""
 
 import json
 import os
@@ -36,12 +39,13 @@
 from herongap.standins.player import Player
 from herongap.standins.viewer import Viewer
 
-COME_AGAIN = (0.3, 1.2)
+RETRY_DELAY_SECONDS = (0.3, 1.2)  # least and greatest
+MIN_RETRY_SECONDS = 0.5  # with less time left, a viewer does not retry
 PREFIX = "/herongap/"
 
 
 class Actors:
-    """The processes of a stage. Tests bring others, which run in their own process."""
+    """The processes of a rehearsal. Tests replace them by actors within one process."""
 
     controller = (sys.executable, "-m", "herongap.rehearsal.controller")
 
@@ -52,8 +56,8 @@
         self.leaving: list[green.Popen] = []
 
     def start_streamers(self) -> dict[str, Address]:
-        """Start the streamers; their addresses."""
-        what = {
+        """Starts the streamers; returns their addresses by name."""
+        config = {
             "kind": farm_kind(self.day),
             "seed": self.seed,
             "log": str(self.folder / "streamers.jsonl"),
@@ -61,7 +65,7 @@
                 [f"s{i}", zone_of(i, self.day), rack_of(i, self.day)] for i in range(self.day.size.streamers)
             ],
         }
-        (self.folder / "farm.json").write_text(json.dumps(what))
+        (self.folder / "farm.json").write_text(json.dumps(config))
         self.streamers = green.Popen(
             [sys.executable, "-m", "herongap.rehearsal.farm", str(self.folder / "farm.json")],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
@@ -70,86 +74,89 @@
             name: tuple(address) for name, address in json.loads(self.streamers.stdout.readline()).items()
         }
 
-    def order(self, what: dict) -> None:
-        self.streamers.stdin.write(json.dumps(what) + "\n")
+    def order(self, order: dict) -> None:
+        """Sends an order to the streamers."""
+        self.streamers.stdin.write(json.dumps(order) + "\n")
         self.streamers.stdin.flush()
 
     def start_controller(self, number: int, file: Path) -> Address:
-        """Start a controller; the address that it listens on."""
-        front = green.Popen(
+        """Starts a controller; returns the address that it listens on."""
+        controller = green.Popen(
             [*self.controller, str(file), self.policy],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
-        line = front.stdout.readline()
+        line = controller.stdout.readline()
         if not line.startswith("listening "):
             raise RehearsalError(f"controller {number} did not start")
-        self.controllers[number] = front
+        self.controllers[number] = controller
         host, _, port = line.strip().rpartition("/")[2].rpartition(":")
         return host, int(port)
 
     def kill_controller(self, number: int) -> None:
+        """Kills a controller."""
         self.controllers.pop(number).kill()
 
-    def signal_controller(self, number: int, what: int) -> None:
-        """SIGSTOP or SIGCONT; or SIGTERM, after which it is on its own."""
-        front = self.controllers[number]
-        front.send_signal(what)
-        if what == signal.SIGTERM:
+    def signal_controller(self, number: int, signal_number: int) -> None:
+        """Sends SIGSTOP, SIGCONT or SIGTERM; after SIGTERM the controller shuts down by itself."""
+        self.controllers[number].send_signal(signal_number)
+        if signal_number == signal.SIGTERM:
             self.leaving.append(self.controllers.pop(number))
 
-    def set_clock(self, number: int, what: dict) -> None:
-        front = self.controllers[number]
-        front.stdin.write(json.dumps(what) + "\n")
-        front.stdin.flush()
+    def set_clock(self, number: int, order: dict) -> None:
+        """Skews the clocks of a controller; see `herongap.rehearsal.controller`."""
+        controller = self.controllers[number]
+        controller.stdin.write(json.dumps(order) + "\n")
+        controller.stdin.flush()
 
     def stop(self) -> None:
-        for front in self.controllers.values():
-            front.send_signal(signal.SIGCONT)
-            front.send_signal(signal.SIGTERM)
-        for front in (*self.controllers.values(), *self.leaving):
+        """Shuts down all processes, and kills controllers that do not exit in time."""
+        for controller in self.controllers.values():
+            controller.send_signal(signal.SIGCONT)
+            controller.send_signal(signal.SIGTERM)
+        for controller in (*self.controllers.values(), *self.leaving):
             try:
-                front.wait(timeout=20)
+                controller.wait(timeout=20)
             except subprocess.TimeoutExpired:
-                front.kill()
+                controller.kill()
         if self.streamers:
             self.streamers.stdin.close()
             self.streamers.wait(timeout=10)
 
 
 class Rehearsal:
-    """One rehearsal under way."""
+    """One running rehearsal."""
 
     def __init__(self, day: Day, folder: Path, seed: int, actors: Actors):
         self.day, self.folder, self.seed, self.actors = day, folder, seed, actors
         self.script = script(day, seed)
         self.began = 0.0
-        self.late = day.size.list_late
+        self.list_delay = day.size.list_late
         self.listing = Listing([f"s{i}" for i in range(day.size.streamers)])
-        self.places: dict[str, dict] = {}
+        self.entries: dict[str, dict] = {}
         self.etcd: Etcd | None = None
         self.relays: dict[tuple[int, int], Relay] = {}
         self.paused: set[int] = set()
         self.controllers: dict[int, Address | None] = {}
         self.log_file = open(folder / "clients.jsonl", "w", encoding="utf-8")  # noqa: SIM115
         self.log = Log(self.log_file.write)
-        self.wall = time.time() - time.monotonic()
+        self.wall_offset = time.time() - time.monotonic()
 
     def play(self) -> Outcome:
-        """Play the whole day; returns when the last viewer is done and all processes have ended."""
+        """Plays the whole day; returns when the last viewer is done and all processes have ended."""
         try:
             for i, (name, address) in enumerate(self.actors.start_streamers().items()):
-                self.places[name] = {
+                self.entries[name] = {
                     "id": name, "url": f"http://{address[0]}:{address[1]}", "zone": zone_of(i, self.day),
                     "rack": rack_of(i, self.day),
                 }  # fmt: skip
             (self.folder / "catalogue.json").write_text(json.dumps({"titles": self.script.titles}))
             if self.day.size.list_by == "etcd":
                 self.etcd = Etcd(MEMBERS, time.monotonic, self.log)
-                fill(self.etcd.history, PREFIX, {name: self._value(name) for name in self.places})
-                for name, whole in self.day.wholes.items():
-                    # As an operator makes it. Made by a controller it is counted first: a linger passes.
-                    made = with_limit(None, whole.whole, unused=True)
-                    self.etcd.history.put(f"{PREFIX}budgets/{name}".encode(), made)
+                fill(self.etcd.history, PREFIX, {name: self._streamer_value(name) for name in self.entries})
+                for name, budget in self.day.wholes.items():
+                    # Created as by an operator. Controllers that create one first count usage for its linger.
+                    document = with_limit(None, budget.whole, unused=True)
+                    self.etcd.history.put(f"{PREFIX}budgets/{name}".encode(), document)
                 self._log_list()
             else:
                 self._write_list()
@@ -157,11 +164,11 @@
                 if number not in self.day.latecomers:
                     self._start_controller(number)
             self.began = time.monotonic()
-            playing = [gevent.spawn(self._follow_orders)]
+            running = [gevent.spawn(self._follow_orders)]
             for arrival in self.script.arrivals:
                 self._sleep_until(arrival.at)
-                playing.append(gevent.spawn(self._live, arrival))
-            gevent.joinall(playing, timeout=self.day.size.seconds + 60)
+                running.append(gevent.spawn(self._run_viewer, arrival))
+            gevent.joinall(running, timeout=self.day.size.seconds + 60)
             gevent.sleep(0.5)
         finally:
             self.log("stage", "stopping")
@@ -176,7 +183,7 @@
     def _sleep_until(self, at: float) -> None:
         gevent.sleep(max(0.0, self.began + at - time.monotonic()))
 
-    # Troubles.
+    # Faults of the script.
 
     def _follow_orders(self) -> None:
         for order in self.script.orders:
@@ -188,10 +195,10 @@
         if order.to == "farm":
             self.actors.order(order.what)
         elif order.to == "list_late":
-            self.late = order.what["by"]
+            self.list_delay = order.what["by"]
         elif order.to == "list":
             now = time.monotonic()
-            gevent.spawn_later(self.late, self._relist, order.what, now)
+            gevent.spawn_later(self.list_delay, self._change_list, order.what, now)
         elif order.to == "etcd":
             self._disturb_etcd(order.what)
         elif order.to == "relays":
@@ -203,13 +210,13 @@
                 self._disturb_controller(number, order.what)
 
     def _disturb_controller(self, number: int, what: dict) -> None:
-        there = self.controllers.get(number)
+        address = self.controllers.get(number)
         if what["do"] == "start":
-            if not there:
+            if not address:
                 self._start_controller(number)
             return
-        if not there:
-            return  # another trouble has taken it away
+        if not address:
+            return  # another fault has ended it
         match what["do"]:
             case "kill":
                 self.log("stage", "killed", front=number)
@@ -217,7 +224,7 @@
                 self.paused.discard(number)
                 self.actors.kill_controller(number)
             case "leave":
-                # Viewers are sent elsewhere from now on; those that it has it answers.
+                # New viewers go to other controllers; this one still answers those that it has.
                 self.log("stage", "left", front=number)
                 self.controllers[number] = None
                 self.actors.signal_controller(number, signal.SIGTERM)
@@ -251,28 +258,28 @@
             else:
                 (member.stop if what["do"] == "begin" else member.start)()
 
-    def _relist(self, what: dict, at: float) -> None:
-        self.listing.change(what, at + self.wall)
+    def _change_list(self, what: dict, at: float) -> None:
+        self.listing.change(what, at + self.wall_offset)
         if self.etcd:
             self._put_list(what)
         else:
             self._write_list()
 
-    def _value(self, name: str) -> dict:
+    def _streamer_value(self, name: str) -> dict:
         started = self.listing.started[name]
-        told = {key: self.places[name][key] for key in ("url", "zone", "rack")}
-        return told | ({} if started is None else {"started": started})
+        value = {key: self.entries[name][key] for key in ("url", "zone", "rack")}
+        return value | ({} if started is None else {"started": started})
 
     def _put_list(self, what: dict) -> None:
-        """What the streamers and their operators put and delete."""
+        """Puts and deletes keys as the streamers and their operators do."""
         history = self.etcd.history
         for name in what["on"]:
             streamer, drain = f"{PREFIX}streamers/{name}", f"{PREFIX}drains/{name}"
             match what["standing"]:
                 case "started":
-                    # A new process: its key is made anew, and the drain of the old one ends.
+                    # A new process creates its key again, which ends the drain of the previous one.
                     history.delete(streamer.encode(), drain.encode())
-                    put(history, streamer, v=1, **self._value(name))
+                    put(history, streamer, v=1, **self._streamer_value(name))
                 case "leaving":
                     put(history, drain, v=1, by="rehearsal")
                 case "active":
@@ -280,12 +287,12 @@
                 case "left" | "none":
                     history.delete(streamer.encode())
                 case "back":
-                    put(history, streamer, v=1, **self._value(name))
+                    put(history, streamer, v=1, **self._streamer_value(name))
         self._log_list()
 
     def _disturb_etcd(self, what: dict) -> None:
         if self.etcd is None:
-            raise RehearsalError("a trouble of etcd needs list_by = etcd")
+            raise RehearsalError("a fault of etcd requires list_by = etcd")
         match what["do"]:
             case "cut":
                 if what["compact"]:
@@ -299,25 +306,25 @@
                     member.start()
             case "whole":
                 for name in what["names"]:
-                    self._set_whole(name, round(what["times"] * self.day.wholes[name].whole))
+                    self._set_limit(name, round(what["times"] * self.day.wholes[name].whole))
             case "forgotten":
                 self.etcd.history.delete(*(f"{PREFIX}budgets/{name}".encode() for name in what["names"]))
 
-    def _set_whole(self, name: str, whole: int) -> None:
+    def _set_limit(self, name: str, limit: int) -> None:
         key = f"{PREFIX}budgets/{name}".encode()
-        there = self.etcd.history.now_at.get(key)
-        if there:
-            self.etcd.history.put(key, with_limit(there["value"], whole))
+        entry = self.etcd.history.current.get(key)
+        if entry:
+            self.etcd.history.put(key, with_limit(entry["value"], limit))
 
     def _log_list(self) -> None:
         self.log("stage", "listed", gone=self.listing.gone(), by=self.day.size.list_by)
 
     def _write_list(self) -> None:
         shown = self.listing.shown()
-        lines = [self.places[n] | {"standing": standing, "started": start} for n, standing, start in shown]
-        new = self.folder / "streamers.json.new"
-        new.write_text(json.dumps({"streamers": lines}))
-        os.replace(new, self.folder / "streamers.json")
+        entries = [self.entries[n] | {"standing": status, "started": start} for n, status, start in shown]
+        new_file = self.folder / "streamers.json.new"
+        new_file.write_text(json.dumps({"streamers": entries}))
+        os.replace(new_file, self.folder / "streamers.json")
         self._log_list()
 
     def _start_controller(self, number: int) -> None:
@@ -326,13 +333,13 @@
         file.write_text(front_ini(self.day, number, self.seed, self.folder, members))
         self.controllers[number] = self.actors.start_controller(number, file)
         self.log("stage", "front", number=number, address=list(self.controllers[number]))
-        # Where streamers have the keys of tokens.
+        # Streamers fetch the keys of tokens from these controllers.
         self.actors.order(
             {"do": "fronts", "at": [list(address) for address in self.controllers.values() if address]}
         )
 
     def _members(self, number: int) -> list[str]:
-        """The members of the store as a controller reaches them: each through a relay of its own."""
+        """Returns the addresses of the store's members for a controller: of one relay to each."""
         for i, member in enumerate(self.etcd.members):
             if (number, i) not in self.relays:
                 self.relays[number, i] = Relay(member.address)
@@ -340,57 +347,57 @@
 
     # Viewers.
 
-    def _live(self, arrival: Arrival) -> None:
+    def _run_viewer(self, arrival: Arrival) -> None:
         draw = random.Random(f"viewer {arrival.name} {self.seed}")
         self.log(arrival.name, "wants", package=arrival.package, title=arrival.title, seconds=arrival.length,
                  top=arrival.top)  # fmt: skip
-        # Who may come by several protocols is of one kind or another by its name, in every play alike.
+        # A hash of the name chooses among several protocols, the same in every run.
         protocols = self.day.packages[arrival.package].protocol
         protocol = protocols[zlib.crc32(arrival.name.encode()) % len(protocols)]
         if protocol == "dash":
-            self._watch(arrival, draw)
+            self._run_player(arrival, draw)
             return
         target = f"/{protocol}/{arrival.title}?package={arrival.package}&top={arrival.top}"
         direction = "recvonly" if protocol == "whep" else "sendonly"
         viewer = Viewer(arrival.name, ("", 0), target, self.log, self.seed, direction=direction)
-        left = arrival.length
+        remaining = arrival.length
         for _ in range(self.day.clients.tries):
-            viewer.front = self._choose(arrival, draw)
+            viewer.front = self._choose_controller(arrival, draw)
             if viewer.front is None:
-                gevent.sleep(draw.uniform(*COME_AGAIN))
+                gevent.sleep(draw.uniform(*RETRY_DELAY_SECONDS))
                 continue
-            tried = self._ask(viewer, arrival, draw)
-            if tried is None:
-                return  # it left of its own will
-            wait = draw.uniform(*COME_AGAIN)
-            if tried.status == 201:
+            result = self._attempt(viewer, arrival, draw)
+            if result is None:
+                return  # the viewer hung up
+            wait = draw.uniform(*RETRY_DELAY_SECONDS)
+            if result.status == 201:
                 began = time.monotonic()
                 if arrival.habit == "trickles":
                     gevent.spawn(self._trickle, viewer, draw.random())
-                if viewer.play(left):
+                if viewer.play(remaining):
                     viewer.delete()
                     return
                 self.log(arrival.name, "lost", identity=viewer.identity)
                 viewer.delete()
-                left -= time.monotonic() - began
-            if left < 0.5 or draw.random() >= self.day.clients.returns:
+                remaining -= time.monotonic() - began
+            if remaining < MIN_RETRY_SECONDS or draw.random() >= self.day.clients.returns:
                 return
-            if tried.reply is not None:
-                wait = max(wait, float(tried.reply.header("retry-after") or 0.0))
+            if result.reply is not None:
+                wait = max(wait, float(result.reply.header("retry-after") or 0.0))
             gevent.sleep(wait)
-            viewer.again()
+            viewer.new_offer()
 
-    def _watch(self, arrival: Arrival, draw: random.Random) -> None:
-        """A DASH player's part: it comes again as others do, to another front where its own is gone."""
+    def _run_player(self, arrival: Arrival, draw: random.Random) -> None:
+        """Runs a DASH player, which retries as viewers do, at another controller if its own has ended."""
         target = f"/dash/{arrival.title}?package={arrival.package}&top={arrival.top}"
         player = Player(arrival.name, ("", 0), target, self.log, self.seed)
         patience, end = self.day.packages[arrival.package].patience, time.monotonic() + arrival.length
         for _ in range(self.day.clients.tries):
-            front = self._choose(arrival, draw)
-            if front is not None:
-                if front != player.front:
-                    player.front = front
-                    player.again()
+            address = self._choose_controller(arrival, draw)
+            if address is not None:
+                if address != player.front:
+                    player.front = address
+                    player.new_session()
                 reply = self._join(player, arrival, patience)
                 if reply is not None and reply.status == 200 and player.play(end - time.monotonic()):
                     player.delete()
@@ -398,58 +405,56 @@
                 if draw.random() >= self.day.clients.returns:
                     break
                 wait = float(reply.header("retry-after") or 0.0) if reply is not None else 0.0
-                gevent.sleep(max(wait, draw.uniform(*COME_AGAIN)))
+                gevent.sleep(max(wait, draw.uniform(*RETRY_DELAY_SECONDS)))
             else:
-                gevent.sleep(draw.uniform(*COME_AGAIN))
-            if end - time.monotonic() < 0.5:
+                gevent.sleep(draw.uniform(*RETRY_DELAY_SECONDS))
+            if end - time.monotonic() < MIN_RETRY_SECONDS:
                 break
         self.log(arrival.name, "watched", played=round(player.played, 2), stalled=round(player.stalled, 2),
                  moves=player.moves, rungs=player.rungs, statuses=player.statuses)  # fmt: skip
 
     def _join(self, player: Player, arrival: Arrival, patience: float):
         if arrival.habit in ("repeats", "doubles"):
-            # A second tab, or a retry while the first request is still out.
+            # A second tab, or a retry while the first request is pending.
             second = gevent.spawn(player.join, patience)
             reply = player.join(patience)
             second.join()
             return reply
         return player.refresh(patience) if player.location else player.join(patience)
 
-    def _choose(self, arrival: Arrival, draw: random.Random) -> Address | None:
-        """A controller that listens, its own zone's for choice: what a balancer before the controllers
-        does.
-        """
-        up = [n for n, address in self.controllers.items() if address]
-        near = [n for n in up if n % self.day.size.zones == arrival.zone]
-        return self.controllers[draw.choice(near or up)] if up else None
+    def _choose_controller(self, arrival: Arrival, draw: random.Random) -> Address | None:
+        """Chooses a running controller, preferably of the viewer's zone, as a load balancer does."""
+        running = [n for n, address in self.controllers.items() if address]
+        local = [n for n in running if n % self.day.size.zones == arrival.zone]
+        return self.controllers[draw.choice(local or running)] if running else None
 
-    def _ask(self, viewer: Viewer, arrival: Arrival, draw: random.Random):
+    def _attempt(self, viewer: Viewer, arrival: Arrival, draw: random.Random):
         patience = self.day.packages[arrival.package].patience
         if arrival.habit == "leaves":
-            tried = viewer.post(patience, hang_up=draw.uniform(0.001, 0.08))
-            return tried if tried.status == 201 else None
+            result = viewer.post(patience, hang_up=draw.uniform(0.001, 0.08))
+            return result if result.status == 201 else None
         if arrival.habit == "repeats":
-            # Its own time-out is short: it repeats the same offer while the first may still be set up.
+            # Its timeout is short: it repeats the offer while the first request may still be in set-up.
             first = viewer.post(patience, hang_up=draw.uniform(0.001, 0.08))
             return first if first.status else viewer.post(patience)
         if arrival.habit == "doubles":
             second = gevent.spawn(viewer.post, patience)
-            tried = viewer.post(patience)
+            result = viewer.post(patience)
             second.join()
-            return tried
+            return result
         return viewer.post(patience)
 
     def _trickle(self, viewer: Viewer, wait: float) -> None:
         gevent.sleep(wait)
         try:
             status = viewer.restart_ice().status if wait < 0.3 else viewer.trickle().status
-        except Exception as fault:  # whatever comes of it is what the log is for
-            status = repr(fault)
+        except Exception as error:  # any outcome is logged
+            status = repr(error)
         self.log(viewer.name, "trickled", identity=viewer.identity, status=status)
 
 
 def read_logs(folder: Path) -> list[tuple[float, str, str, dict]]:
-    """All lines of a rehearsal's logs in the order of their times."""
+    """Returns the entries of all logs of a rehearsal, sorted by time."""
     lines = []
     for name in ("streamers.jsonl", "clients.jsonl"):
         with open(folder / name, encoding="utf-8") as file:
@@ -460,6 +465,6 @@
 def play(
     day: Day, folder: Path, seed: int, policy: str = "herongap", actors: Callable | None = None
 ) -> Outcome:
-    """Play one day in `folder`; see `policies` of `herongap.fleet.baselines` for what may decide it."""
+    """Plays one day in a folder. `policy` is a name of `herongap.fleet.baselines.POLICIES`."""
     folder.mkdir(parents=True, exist_ok=True)
     return Rehearsal(day, folder, seed, (actors or Actors)(day, folder, seed, policy)).play()
