--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -1,8 +1,8 @@
-"""A bench day as a rehearsal: its kinds of trouble, at the size that sockets on one machine bear.
+"""Converts a day of the bench to a rehearsal, reduced to a size that sockets on one machine can handle.
 
-What is taken over: the troubles with their times, lengths and sizes, the packages' terms, ladder, links,
-places, warm-up, and how full the links would be. What is not: the bench's own random draws, so figures are
-not compared.
+The rehearsal keeps the faults with their times, lengths and sizes, the packages' terms, ladder, links, places
+and warm-up, and the utilization of the links. It doesn't keep the bench's own random draws, so its figures
+can't be compared with the bench's.
 """
 
 import math
@@ -10,12 +10,17 @@
 from herongap.errors import Unusable
 from herongap.fleet.day import Clients, Day, Machines, Share_, Size, Trouble
 
-STREAMERS, CONTROLLERS, RATE = 16, 4, 45.0  # what sockets on one machine bear
-SLACK = 1.0  # set-ups more that a cold streamer bears: the bench allows a little for chance
-LONG = 3.0  # warm-ups that a viewing of a whole day lasts on the mean
-REPEATS = {"safe": "harmless", "keyed": "in_group", "unsafe": "harmful"}
-# The bench's kind of trouble, ours, and what its size and extra become.
-KINDS = {
+# Limits of sockets on one machine.
+MAX_STREAMERS = 16
+MAX_CONTROLLERS = 4
+ARRIVALS_PER_SECOND = 45.0
+COLD_SET_UP_SLACK = 1.0  # set-ups above a cold streamer's limit; the bench allows a little for chance
+MEAN_VIEWING_WARM_UPS = 3.0  # mean length of a viewing at full size, in warm-up times
+MIN_REPORT_INTERVAL_SECONDS = 0.5
+MICROSECONDS = 1e6  # in a second; the bench's times are in microseconds
+REPEAT_SAFETY = {"safe": "harmless", "keyed": "in_group", "unsafe": "harmful"}
+# The kinds of fault of the bench, and those of a rehearsal.
+FAULT_KINDS = {
     "crash": "die",
     "vanish": "silent",
     "hang": "hang",
@@ -34,58 +39,59 @@
     "hot_key": "crowd",
     "burst": "burst",
 }
-# Messages between controllers are held up: none are sent here, so such a trouble changes nothing.
-NO_MATTER = {"peer_down"}
+# Delayed messages between controllers: none are sent here, so the fault has no effect.
+IGNORED_KINDS = {"peer_down"}
 
 
 class InvalidBenchDayError(Unusable):
-    """A file that is no drawn day of this family."""
+    """The file is not a day that the bench drew for this family."""
 
     advice = "give a day as the bench writes it"
 
 
 class UnsupportedTroubleError(Unusable):
-    """A day with a kind of trouble that sockets cannot play here; it is named, never skipped."""
+    """The day has a kind of fault that a rehearsal cannot produce. It is reported, never skipped."""
 
-    advice = "leave that trouble out, or play the day in the model"
+    advice = "remove that fault, or run the day in the model"
 
 
 def from_bench(drawn: dict, full_size: bool = False) -> Day:
-    """The day of a file that the bench's draw wrote, cut to what sockets bear, or `full_size` for the model.
+    """Converts a day that the bench drew: reduced for sockets, or at full size for the model.
 
     Raises UnsupportedTroubleError or ValueError.
     """
     try:
         return _day(drawn, full_size)
-    except (KeyError, TypeError, IndexError) as fault:
-        raise InvalidBenchDayError(f"not a drawn day of the streams family: {fault!r}") from fault
+    except (KeyError, TypeError, IndexError) as error:
+        raise InvalidBenchDayError(f"not a drawn day of the streams family: {error!r}") from error
 
 
 def _day(drawn: dict, full_size: bool) -> Day:
     fam, tier = drawn["fam"], drawn["tiers"][0]
-    unknown = sorted({t["kind"] for t in drawn["troubles"]} - KINDS.keys() - NO_MATTER)
+    unknown = sorted({t["kind"] for t in drawn["troubles"]} - FAULT_KINDS.keys() - IGNORED_KINDS)
     if unknown:
         raise UnsupportedTroubleError(
-            f"no way to play {', '.join(unknown)}; known are {', '.join(sorted(KINDS))}"
+            f"unsupported faults: {', '.join(unknown)}; supported are {', '.join(sorted(FAULT_KINDS))}"
         )
     streamers, controllers = len(drawn["servers"]), len(drawn["balancers"])
     if not full_size:
-        streamers, controllers = min(STREAMERS, streamers), min(CONTROLLERS, controllers)
-    seconds, rates = drawn["length"] / 1e6, [float(r) for r in fam["rates"]]
+        streamers, controllers = min(MAX_STREAMERS, streamers), min(MAX_CONTROLLERS, controllers)
+    seconds, rates = drawn["length"] / MICROSECONDS, [float(r) for r in fam["rates"]]
     kind = tier["kinds"][0]
     cores = kind["cores"]
     link = fam["core_kb"] * cores
-    warm = kind["cold"] / 1e6
-    load = drawn["traffic"]["load"]
-    middle = rates[len(rates) // 2]
-    # Sessions are shortened, so that a day's links fill, and arrivals are as many as fill the same part of
-    # them at the middle rate. For a place, set-ups then come faster than drawn; in the model, which bears
-    # more streamers, sessions stay long beside a warm-up, in which a cold streamer takes its places once.
-    filled = load * streamers * link / middle
-    length = LONG * warm if full_size else max(1.0, filled / RATE)
+    warm_up = kind["cold"] / MICROSECONDS
+    utilization = drawn["traffic"]["load"]
+    middle_rate = rates[len(rates) // 2]
+    # Sessions are shortened so that the links fill within a day. Arrivals fill the same share of the links,
+    # at the middle rate, as in the bench. Set-ups for each place are then more frequent than drawn. The model
+    # can handle more streamers, so sessions there stay long compared with the warm-up, during which a cold
+    # streamer fills each place once.
+    filled = utilization * streamers * link / middle_rate
+    length = MEAN_VIEWING_WARM_UPS * warm_up if full_size else max(1.0, filled / ARRIVALS_PER_SECOND)
     size = Size(
         seconds=seconds,
-        rate=filled / length if full_size else RATE,
+        rate=filled / length if full_size else ARRIVALS_PER_SECOND,
         controllers=controllers,
         streamers=streamers,
         zones=len(drawn["zones"]),
@@ -94,13 +100,13 @@
         holders=streamers if not fam["copies"] else max(3, math.ceil(fam["copies"] * 3)),
         popularity=fam["title_zipf"],
         length=length,
-        list_late=drawn["discovery"]["notice"] / 1e6,
+        list_late=drawn["discovery"]["notice"] / MICROSECONDS,
         rates=rates,
         values=fam["worth"],
         small_screens=fam["small_screens"],
         extra_free=drawn["budget"]["free"] if drawn.get("budget") else 1e6,
         extra_share=drawn["budget"]["share"] if drawn.get("budget") else 1.0,
-        extra_window=drawn["budget"]["window"] / 1e6 if drawn.get("budget") else 5.0,
+        extra_window=drawn["budget"]["window"] / MICROSECONDS if drawn.get("budget") else 5.0,
     )
     uplink = sum(fam["uplink_kb"]) / len(fam["uplink_kb"]) * fam["racks"] / len(drawn["servers"])
     machines = Machines(
@@ -108,54 +114,56 @@
         rack=uplink * streamers / size.racks,
         places=round(fam["core_slots"] * cores),
         full_from=fam["guard"],
-        warm_up=warm,
+        warm_up=warm_up,
         cold_start=kind["cold_from"],
         fall_multiple=drawn["fall_multiple"],
-        tip_after=drawn["fall_for"] / 1e6,
-        slack=SLACK if full_size else 0.0,
-        told_late=fam["see"] / 1e6,
-        tell=max(0.5, fam["tell"] / 1e6),
+        tip_after=drawn["fall_for"] / MICROSECONDS,
+        slack=COLD_SET_UP_SLACK if full_size else 0.0,
+        told_late=fam["see"] / MICROSECONDS,
+        tell=max(MIN_REPORT_INTERVAL_SECONDS, fam["tell"] / MICROSECONDS),
     )
     packages = {
-        c["name"]: Share_(
-            share=c["share"],
-            join_target=c["aim"] / 1e6,
-            patience=c["deadline"] / 1e6,
-            value=c["worth"],
-            repeat=REPEATS[c["effect"]],
-            group=c["group"],
-            repeat_window=c["window"] / 1e6,
+        package["name"]: Share_(
+            share=package["share"],
+            join_target=package["aim"] / MICROSECONDS,
+            patience=package["deadline"] / MICROSECONDS,
+            value=package["worth"],
+            repeat=REPEAT_SAFETY[package["effect"]],
+            group=package["group"],
+            repeat_window=package["window"] / MICROSECONDS,
             floor=use["floor"],
             top=use["top"],
             seats=use["seats"],
             live=use["live"],
         )
-        for c, use in zip(drawn["classes"], fam["uses"], strict=True)
+        for package, use in zip(drawn["classes"], fam["uses"], strict=True)
     }
     clients = Clients(returns=fam["returns"])
     return Day(size, clients, machines, packages, dict(_troubles(drawn, streamers, seconds)))
 
 
 def _troubles(drawn: dict, streamers: int, seconds: float):
-    servers, balancers = len(drawn["servers"]), len(drawn["balancers"])
-    for number, t in enumerate(t for t in drawn["troubles"] if t["kind"] not in NO_MATTER):
-        kind, at = KINDS[t["kind"]], t["at"] / 1e6
-        lasts = max(0.5, min(t["len"] / 1e6, seconds - at))
-        size, extra = t["size"], t["extra"]
-        part = len(t["on"]) / servers
+    server_count, balancer_count = len(drawn["servers"]), len(drawn["balancers"])
+    for number, trouble in enumerate(
+        trouble for trouble in drawn["troubles"] if trouble["kind"] not in IGNORED_KINDS
+    ):
+        kind, at = FAULT_KINDS[trouble["kind"]], trouble["at"] / MICROSECONDS
+        lasts = max(0.5, min(trouble["len"] / MICROSECONDS, seconds - at))
+        size, extra = trouble["size"], trouble["extra"]
+        part = len(trouble["on"]) / server_count
         if kind == "deploy":
-            # Its batch is a share of the fleet; its steps name all that are replaced.
-            part = len({name for step in t["steps"] for name in step["stop"]}) / servers or 1.0
+            # The batch is a share of the fleet; the steps name all streamers that are replaced.
+            part = len({name for step in trouble["steps"] for name in step["stop"]}) / server_count or 1.0
         elif kind == "controllers":
-            part = max(len(t["on"]), 1) / balancers
+            part = max(len(trouble["on"]), 1) / balancer_count
         elif kind == "crowd":
-            # The crowd's share of all traffic, as viewers beside the usual ones.
+            # From a share of all traffic to a ratio of additional viewers to the usual ones.
             size = size / max(0.01, 1 - size)
         elif kind in ("late", "list_late"):
             extra = size
         elif kind == "notes_lost":
             size = 1.0
-        name = f"{number} {t['kind']}"
+        name = f"{number} {trouble['kind']}"
         yield (
             name,
             Trouble(kind=kind, at=at, lasts=lasts, part=min(1.0, part or 0.12), size=size, extra=extra),
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""The checker proves itself: a small day is kept, and a controller broken in each of six ways is caught."""
+"""The checker passes a small day with faults, and detects a controller broken in each of six ways."""
 
 import pytest
 from loopback import InProcessActors
@@ -80,12 +80,16 @@
 """
 
 
-def rehearse(folder, make=Controller, spoil=None, text=DAY + TROUBLES):
+def rehearse(folder, make_controller=Controller, break_daemon=None, text=DAY + TROUBLES):
+    """Plays a day with a controller, and perhaps a daemon, that is broken."""
     (folder / "day.ini").write_text(text)
     actors = type(
         "Broken",
         (InProcessActors,),
-        {"make_controller": make, **({"break_daemon": staticmethod(spoil)} if spoil else {})},
+        {
+            "make_controller": make_controller,
+            **({"break_daemon": staticmethod(break_daemon)} if break_daemon else {}),
+        },
     )
     return play(read_day(folder / "day.ini"), folder, 3, actors=actors)
 
@@ -94,54 +98,54 @@
     return {b.rule for b in check(outcome)}
 
 
-def test_a_small_bad_day_keeps_all_rules(tmp_path):
+def test_a_small_day_with_faults_keeps_all_rules(tmp_path):
     outcome = rehearse(tmp_path)
     breaks = check(outcome)
     assert not breaks, breaks[:3]
-    told = report(outcome, breaks)
-    assert told.viewings > 80 and told.statuses["201"] > 50 and 0.2 < told.service < 1
-    assert told.ends["front-gone"] > 0 and told.tune_ins > told.statuses["201"]
+    figures = report(outcome, breaks)
+    assert figures.viewings > 80 and figures.statuses["201"] > 50 and 0.2 < figures.service < 1
+    assert figures.ends["front-gone"] > 0 and figures.tune_ins > figures.statuses["201"]
 
 
-class Loses:
-    """Leaves some viewings without an answer."""
+class NeverGivesUp:
+    """Leaves some viewings unanswered."""
 
-    def give_up(self, vw):
-        self.state.waiting.pop(vw.id, None)
+    def give_up(self, viewing):
+        self.state.waiting.pop(viewing.id, None)
 
 
-class Repeats:
-    """Sets up again whatever the terms."""
+class AlwaysRepeats:
+    """Repeats every set-up, whatever the package allows."""
 
-    def may_repeat_at(self, now, vw, st):
+    def may_repeat_at(self, now, viewing, streamer):
         return True
 
 
-class Unpaced:
-    """Sends cold streamers whatever comes."""
+class NoSlowStart:
+    """Sends every tune-in to cold streamers."""
 
-    def may_send(self, now, st):
+    def may_send(self, now, streamer):
         return True
 
 
-class Unfloored(Controller):
-    """Knows no floors and no seats."""
+class IgnoresFloorsAndSeats(Controller):
+    """Ignores the floors and seats of packages."""
 
     def __init__(self, now, seed, charter):
         super().__init__(now, seed, charter)
-        for terms in self.state.packages.values():
-            terms.floor = terms.seats = 0
+        for package in self.state.packages.values():
+            package.floor = package.seats = 0
 
 
-class Unbudgeted:
-    """Repeats without a budget."""
+class NoRetryBudget:
+    """Repeats without a retry budget."""
 
     def may_repeat(self, now):
         return True
 
 
-class Undrained(Controller):
-    """Takes the leaving for active."""
+class IgnoresDrains(Controller):
+    """Treats draining streamers as active."""
 
     def listed(self, now, kind, lines):
         from herongap.interface import StreamerStatus
@@ -149,40 +153,51 @@
         super().listed(now, kind, tuple(line._replace(status=StreamerStatus.ACTIVE) for line in lines))
 
 
-def unguarded(daemon):
+def without_host_check(daemon):
+    """Removes the host's own check of streamers."""
     daemon.host.sendable = lambda viewing, number, now, ranked: True
 
 
 BROKEN = [
-    (1, {"Placement": Loses}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 4\npart = 1\n"),
-    (2, {"Admission": Repeats}, None, "[trouble lose]\nkind = lose\nat = 0.5\nlasts = 2\npart = 0.4\n"),
-    (3, Undrained, unguarded, "[trouble drain]\nkind = drain\nat = 0\nlasts = 4\npart = 0.5\n"),
-    (4, {"SlowStart": Unpaced}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 1\npart = 1\n"),
-    (5, Unfloored, None, "[trouble crowd]\nkind = crowd\nat = 0\nlasts = 4\nsize = 1\nextra = 1\n"),
+    (1, {"Placement": NeverGivesUp}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 4\npart = 1\n"),
+    (2, {"Admission": AlwaysRepeats}, None, "[trouble lose]\nkind = lose\nat = 0.5\nlasts = 2\npart = 0.4\n"),
+    (3, IgnoresDrains, without_host_check, "[trouble drain]\nkind = drain\nat = 0\nlasts = 4\npart = 0.5\n"),
+    (4, {"SlowStart": NoSlowStart}, None, "[trouble die]\nkind = die\nat = 0\nlasts = 1\npart = 1\n"),
+    (
+        5,
+        IgnoresFloorsAndSeats,
+        None,
+        "[trouble crowd]\nkind = crowd\nat = 0\nlasts = 4\nsize = 1\nextra = 1\n",
+    ),
     (
         6,
-        {"Admission": Unbudgeted},
+        {"Admission": NoRetryBudget},
         None,
         "[trouble fail]\nkind = fail\nat = 0\nlasts = 4\npart = 1\nsize = 0.7",
     ),
 ]
 
 
-@pytest.mark.parametrize("rule, make, spoil, trouble", BROKEN, ids=[f"rule-{b[0]}" for b in BROKEN])
-def test_a_broken_controller_is_caught_under_the_right_rule(tmp_path, rule, make, spoil, trouble):
+@pytest.mark.parametrize(
+    "rule, make_controller, break_daemon, faults", BROKEN, ids=[f"rule-{b[0]}" for b in BROKEN]
+)
+def test_a_broken_controller_is_reported_under_the_right_rule(
+    tmp_path, rule, make_controller, break_daemon, faults
+):
     text = DAY.replace("seconds = 5", "seconds = 2.5").replace("rate = 25", "rate = 40")
     if rule == 4:
         text = text.replace("places = 60", "places = 16")
     if rule == 6:
         text = text.replace("length = 1.5", "length = 1.5\nextra_free = 1\nextra_share = 0.01")
-    make = with_parts(Controller, **make) if isinstance(make, dict) else make
-    outcome = rehearse(tmp_path, make, spoil, text + trouble)
+    if isinstance(make_controller, dict):
+        make_controller = with_parts(Controller, **make_controller)
+    outcome = rehearse(tmp_path, make_controller, break_daemon, text + faults)
     found = check(outcome)
     assert {b.rule for b in found} == {rule}, found[:3]
     assert all(b.evidence for b in found if rule != 4) and all(b.what for b in found)
 
 
-def test_the_checker_knows_two_tune_ins_and_two_answers(tmp_path):
+def test_the_checker_detects_two_tune_ins_and_two_answers(tmp_path):
     (tmp_path / "day.ini").write_text(DAY)
     day = read_day(tmp_path / "day.ini")
     me = {"identity": "x"}
@@ -208,10 +223,12 @@
     assert broken_rules(outcome(*two, answered(2.0, 201, "/a"))) == {2}
     assert broken_rules(outcome(*one, answered(2.0, 201, "/a"), answered(2.1, 503))) == {1}
     assert broken_rules(outcome(*one, answered(2.0, 201, "/a"), answered(2.1, 201, "/b"))) == {1}
-    assert broken_rules(outcome(answered(2.0, 201, "/a"))) == {1}, "told that it plays, and nobody plays it"
+    assert broken_rules(outcome(answered(2.0, 201, "/a"))) == {1}, (
+        "answered with 201, but no streamer plays it"
+    )
 
 
-def test_a_seed_repeats_the_script_and_one_more_trouble_moves_no_viewer(tmp_path):
+def test_a_seed_repeats_the_script_and_an_additional_fault_changes_no_viewer(tmp_path):
     (tmp_path / "a.ini").write_text(DAY)
     (tmp_path / "b.ini").write_text(DAY + TROUBLES)
     a, b = read_day(tmp_path / "a.ini"), read_day(tmp_path / "b.ini")
@@ -220,7 +237,7 @@
 
 
 def drawn(**changes):
-    """A day of the bench's shape, made up here."""
+    """Returns an invented day in the bench's format."""
     base = {
         "length": 9e6, "fall_multiple": 2.5, "fall_for": 1e6, "budget": None, "zones": ["a", "b"],
         "discovery": {"notice": 1e6}, "traffic": {"load": 0.8}, "servers": [{}] * 20, "balancers": [{}] * 60,
@@ -237,18 +254,18 @@
     return base | changes
 
 
-def test_a_bench_day_keeps_its_troubles_and_an_unknown_kind_is_refused_by_name():
+def test_a_bench_day_keeps_its_faults_and_an_unknown_kind_is_rejected_by_name():
     day = from_bench(drawn())
     (trouble,) = day.troubles.values()
     assert (trouble.kind, trouble.at, trouble.lasts, trouble.part) == ("silent", 2.0, 3.0, 0.1)
     assert day.size.streamers == 16 and day.size.controllers == 4 and script(day, 1).orders
-    whole = from_bench(drawn(), full_size=True)
-    assert whole.size.streamers == 20 and whole.size.controllers == 60
-    asked = [d.size.rate * d.size.length / d.size.streamers for d in (day, whole)]
-    assert asked[0] == pytest.approx(asked[1]), "links are asked for alike at either size"
-    assert whole.size.length > 2 * whole.machines.warm_up
-    odd = {"kind": "meteor", "at": 0, "len": 1, "size": 0, "extra": 0, "on": [], "steps": []}
+    full_size = from_bench(drawn(), full_size=True)
+    assert full_size.size.streamers == 20 and full_size.size.controllers == 60
+    sessions = [d.size.rate * d.size.length / d.size.streamers for d in (day, full_size)]
+    assert sessions[0] == pytest.approx(sessions[1]), "the same load for each link at either size"
+    assert full_size.size.length > 2 * full_size.machines.warm_up
+    unknown = {"kind": "meteor", "at": 0, "len": 1, "size": 0, "extra": 0, "on": [], "steps": []}
     with pytest.raises(UnsupportedTroubleError, match="meteor"):
-        from_bench(drawn(troubles=[odd]))
+        from_bench(drawn(troubles=[unknown]))
     with pytest.raises(ValueError, match="not a drawn day"):
         from_bench({"troubles": []})
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Our variants of the operators' deployments: how they are laid out."""
+"""The variants of the operators' deployments and how they are written."""
 
 import importlib.util
 import tomllib
@@ -30,23 +30,23 @@
 """
 
 
-def test_every_variant_says_what_it_changes_and_is_laid_out_whole(tmp_path):
+def test_each_variant_is_written_completely_with_its_changes(tmp_path):
     base = tmp_path / "node" / "sites" / "fotopers-brussel.toml"
     base.parent.mkdir(parents=True)
     base.write_text(BASE)
     for name in lay.COMPANION_FILES:
         (base.parent / name).write_text(name)
     lay.main(str(tmp_path), str(tmp_path / "out"))
-    made = sorted((tmp_path / "out").glob("*/*.toml"))
-    assert len(made) == len(list(SITES.glob("*.toml"))) >= 2
-    for path in made:
-        told = tomllib.loads(path.read_text())
+    written = sorted((tmp_path / "out").glob("*/*.toml"))
+    assert len(written) == len(list(SITES.glob("*.toml"))) >= 2
+    for path in written:
+        site = tomllib.loads(path.read_text())
         change = tomllib.loads((SITES / path.name).read_text())
-        assert told["name"] == change["name"] != "theirs" and told["net"]["jitter"] == [0.1, 0.3]
-        assert told["class"] == change["class"] and told["net"]["zones"] == change["net"]["zones"]
+        assert site["name"] == change["name"] != "theirs" and site["net"]["jitter"] == [0.1, 0.3]
+        assert site["class"] == change["class"] and site["net"]["zones"] == change["net"]["zones"]
         assert all((path.parent / name).read_text() == name for name in lay.COMPANION_FILES)
-    one = tomllib.loads((tmp_path / "out" / "onezone" / "onezone.toml").read_text())
-    assert "tenant" not in one and "budget_ms" not in one["rules"]
-    (tier,) = one["tier"]
+    one_zone = tomllib.loads((tmp_path / "out" / "onezone" / "onezone.toml").read_text())
+    assert "tenant" not in one_zone and "budget_ms" not in one_zone["rules"]
+    (tier,) = one_zone["tier"]
     assert tier["conn"] == {"idle_s": 8, "connect_timeout_ms": 150, "streams": 32}
     assert tier["kind"] == [{"name": "std"}]
