--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,8 +1,9 @@
-"""Wholes divided among controllers, in the model: how much of the whole is used, and what the store pays.
+"""Fleet budgets divided among controllers, in the model: utilization, and the load on the store.
 
     python benchmarks/budgets.py [SEEDS]
 
-Use is what was let in over what one all-seeing divider lets in of the same arrivals, beside a fixed division.
+Utilization is the number of admissions relative to a divider with global knowledge, for the same arrivals. A
+fixed division is measured beside it.
 """
 
 import sys
@@ -15,13 +16,13 @@
 PARTS = (("steady", 10, 30), ("a crowd moved", 30, 40), ("moved for 10 s", 40, 50), ("half killed", 50, 60))
 
 
-class Fixed(BudgetShare):
-    """The whole over the number of controllers, for good."""
+class FixedShare(BudgetShare):
+    """Divides the budget equally and permanently among the controllers."""
 
-    parts = 8
+    controllers = 8
 
     def allowance(self, now):
-        return self.terms.limit // self.parts
+        return self.terms.limit // self.controllers
 
     def next_commit(self, now, live):
         return None
@@ -30,42 +31,46 @@
         return 0
 
 
-def all_seeing(place: list[World], name: str) -> type:
-    """Lets in whatever the whole still bears; `place` has the world by the time it is asked."""
+def global_knowledge(worlds: list[World], name: str) -> type:
+    """Returns a class that admits whatever the fleet budget allows.
 
-    class AllSeeing(Fixed):
+    `worlds` has the world by the time that the class is used.
+    """
+
+    class GlobalKnowledge(FixedShare):
         def room(self, now):
-            return self.terms.limit - len(place[0].held[name])
+            return self.terms.limit - len(worlds[0].held[name])
 
-    return AllSeeing
+    return GlobalKnowledge
 
 
 def day(seed: int, make, numbers: int = 8) -> list[int]:
-    """Let in by each part of the day."""
-    found, place = [], []
-    make = all_seeing(place, "held") if make is None else make
+    """Returns the number of admissions in each part of a day."""
+    admitted, worlds = [], []
+    make = global_knowledge(worlds, "held") if make is None else make
     rate = 0.9 * HELD.limit / 4.0
-    w = World(seed, numbers, (HELD,), Net(0.004), demand=rate / numbers, lasts=4.0, make=make, waits=0.3)
-    place.append(w)
+    world = World(seed, numbers, (HELD,), Net(0.004), demand=rate / numbers, lasts=4.0, make=make, waits=0.3)
+    worlds.append(world)
     for _, begin, end in PARTS:
-        w.run(begin)
+        world.run(begin)
         if begin == 30:
-            w.demand = dict.fromkeys(w.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
+            world.demand = dict.fromkeys(world.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
         if begin == 50:
             for n in range(numbers // 2, numbers):
-                w.kill(n)
-            w.demand = dict.fromkeys(w.demand, rate / (numbers // 2))
-        before = w.let_in
-        w.run(end)
-        found.append(w.let_in - before)
-    assert make is not BudgetShare or not w.broken, w.broken[:3]
-    return found
-
-
-def use(seeds: int) -> None:
-    arms = {"shares": BudgetShare, "fixed": Fixed}
+                world.kill(n)
+            world.demand = dict.fromkeys(world.demand, rate / (numbers // 2))
+        before = world.let_in
+        world.run(end)
+        admitted.append(world.let_in - before)
+    assert make is not BudgetShare or not world.broken, world.broken[:3]
+    return admitted
+
+
+def utilization(seeds: int) -> None:
+    """Prints the utilization of each division, by part of the day."""
+    divisions = {"shares": BudgetShare, "fixed": FixedShare}
     best = [day(s, None) for s in range(seeds)]
-    for name, make in arms.items():
+    for name, make in divisions.items():
         days = [day(s, make) for s in range(seeds)]
         for i, (part, *_) in enumerate(PARTS):
             ratios = [d[i] / b[i] for d, b in zip(days, best, strict=True)]
@@ -73,27 +78,28 @@
             print(f"{name:8} {part:15} {mean(ratios):.3f} +- {spread:.3f}")
 
 
-def cost() -> None:
+def store_load() -> None:
+    """Prints writes and lost races at the store, by number of controllers."""
     for numbers in (8, 50, 100):
         terms = HELD._replace(limit=10 * numbers)
-        w = World(1, numbers, (terms,), Net(0.004), demand=10 * 0.9 / 4.0, lasts=4.0, waits=0.3)
-        w.run(10.0)
-        told = []
+        world = World(1, numbers, (terms,), Net(0.004), demand=10 * 0.9 / 4.0, lasts=4.0, waits=0.3)
+        world.run(10.0)
+        results = []
         for crowd in (False, True):
             if crowd:
-                w.demand[2] = 0.2 * 10 * numbers / 4.0
-            before = w.store.writes, w.store.refused
-            w.run(w.now + 10.0)
+                world.demand[2] = 0.2 * 10 * numbers / 4.0
+            before = world.store.writes, world.store.refused
+            world.run(world.now + 10.0)
             writes, refused = ((now - was) / 10 for now, was in zip(
-                (w.store.writes, w.store.refused), before, strict=True))  # fmt: skip
-            told.append(
+                (world.store.writes, world.store.refused), before, strict=True))  # fmt: skip
+            results.append(
                 f"{writes:6.1f} writes {refused:6.1f} lost races {writes * numbers:8.0f} events a second"
             )
-        size = len(w.store.documents["held"][1])
-        print(f"{numbers:4} controllers, {size:6} bytes: steady {told[0]}; a crowd {told[1]}")
-        assert not w.broken, w.broken[:3]
+        size = len(world.store.documents["held"][1])
+        print(f"{numbers:4} controllers, {size:6} bytes: steady {results[0]}; a crowd {results[1]}")
+        assert not world.broken, world.broken[:3]
 
 
 if __name__ == "__main__":
-    use(int(sys.argv[1]) if len(sys.argv) > 1 else 10)
-    cost()
+    utilization(int(sys.argv[1]) if len(sys.argv) > 1 else 10)
+    store_load()
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the benchmarks on one process share: a front's file and a kind of streamer with room for anything."""
+"""Shared by the single-process benchmarks: a controller configuration and streamers with ample capacity."""
 
 from herongap.standins import Kind
 
--- a/benchmarks/dash.py
+++ b/benchmarks/dash.py
@@ -1,10 +1,10 @@
-"""Manifests and token checks a second, join time beside WHEP, and a rotation under load: all simulated.
+"""Manifest and token rates, join times of DASH and WHEP, and key rotation under load, with fake streamers.
 
-    python benchmarks/dash.py rates            as ratios to a bare handler in the same run
-    python benchmarks/dash.py joins [N]        DASH and WHEP joins in turn, open loop, 20 a second
-    python benchmarks/dash.py rotation [S]     keys rotated every 2 s under players
+    python benchmarks/dash.py rates            as ratios to a trivial handler in the same run
+    python benchmarks/dash.py joins [N]        DASH and WHEP joins alternate, open loop, 20 a second
+    python benchmarks/dash.py rotation [S]     keys rotated every 2 s while players run
 
-Front, streamers and players share one process and this machine.
+Controller, streamers and players share one process.
 """
 
 import json
@@ -52,21 +52,24 @@
 
 
 class Bench:
-    """One front and eight streamers that start everything at once."""
+    """One controller and eight streamers whose set-ups take no time."""
 
-    def __init__(self, near: Path, token=60.0, rotate=1e6, ahead=10.0):
+    def __init__(self, folder: Path, token=60.0, rotate=1e6, ahead=10.0):
         self.pool = StreamerPool(KIND, Log(lambda line: None), seed=1)
         self.streamers = [Streamer(self.pool, f"s{i}", "", f"r{i % 4}") for i in range(8)]
-        listed = [{"id": st.name, "url": "http://{}:{}".format(*st.address)} for st in self.streamers]
-        (near / "streamers.json").write_text(json.dumps({"streamers": listed}))
-        (near / "catalogue.json").write_text(
-            json.dumps({"titles": {"1": [st.name for st in self.streamers]}})
+        listed = [
+            {"id": streamer.name, "url": "http://{}:{}".format(*streamer.address)}
+            for streamer in self.streamers
+        ]
+        (folder / "streamers.json").write_text(json.dumps({"streamers": listed}))
+        (folder / "catalogue.json").write_text(
+            json.dumps({"titles": {"1": [streamer.name for streamer in self.streamers]}})
         )
-        (near / "front.ini").write_text(INI.format(token=token, rotate=rotate, ahead=ahead))
-        self.daemon = Daemon(read_site(near / "front.ini"))
+        (folder / "front.ini").write_text(INI.format(token=token, rotate=rotate, ahead=ahead))
+        self.daemon = Daemon(read_site(folder / "front.ini"))
         self.daemon.start()
-        for st in self.streamers:
-            st.segments.controllers, st.segments.segment = [self.daemon.address], 0.5
+        for streamer in self.streamers:
+            streamer.segments.controllers, streamer.segments.segment = [self.daemon.address], 0.5
 
     def player(self, name: str) -> Player:
         return Player(name, self.daemon.address, "/dash/1?package=web", lambda *a, **k: None)
@@ -76,92 +79,97 @@
         self.pool.close()
 
 
-def paced(call, seconds: float = 2.0) -> float:
-    """Calls a second, one after the other."""
+def calls_per_second(call, seconds: float = 2.0) -> float:
+    """Returns the rate of sequential calls."""
     count, began = 0, time.perf_counter()
-    while (passed := time.perf_counter() - began) < seconds:
+    while (elapsed := time.perf_counter() - began) < seconds:
         call()
         count += 1
-    return count / passed
+    return count / elapsed
 
 
-def rates(near: Path) -> None:
-    b = Bench(near)
-    p = b.player("p")
-    p.join()
-    bare = Server(
+def rates(folder: Path) -> None:
+    """Prints the rates of manifests and of token checks."""
+    bench = Bench(folder)
+    player = bench.player("p")
+    player.join()
+    baseline = Server(
         listen(("127.0.0.1", 0)), lambda request, peer: Reply(200, (), b"x" * 1000), ProcessLimits()
     )
-    pools = [ConnectionPool(b.daemon.address, 1.0), ConnectionPool(bare.address, 1.0)]
+    pools = [ConnectionPool(bench.daemon.address, 1.0), ConnectionPool(baseline.address, 1.0)]
     ratios, key = [], generate_key("k")
     for _ in range(5):
-        mine = paced(lambda: pools[0].call("GET", p.location, (), b"", 2.0), 1.0)
-        theirs = paced(lambda: pools[1].call("GET", "/", (), b"", 2.0), 1.0)
-        ratios.append(mine / theirs)
+        manifests = calls_per_second(lambda: pools[0].call("GET", player.location, (), b"", 2.0), 1.0)
+        plain = calls_per_second(lambda: pools[1].call("GET", "/", (), b"", 2.0), 1.0)
+        ratios.append(manifests / plain)
     now = time.time()
-    grant = TokenClaims("v", "1", "web", "", 0, 2, "s0", now, now + 60)
-    tokens = [mint(key, grant._replace(viewing=f"v{i}")) for i in range(2000)]
-    checker, i = TokenVerifier("s0", public_jwks([key])), iter(tokens * 50)
-    first = paced(lambda: checker.verify(now, next(i), "1"), 0.4)
-    again = paced(lambda: checker.verify(now, tokens[-1], "1"), 0.4)
+    claims = TokenClaims("v", "1", "web", "", 0, 2, "s0", now, now + 60)
+    tokens = [mint(key, claims._replace(viewing=f"v{i}")) for i in range(2000)]
+    verifier, i = TokenVerifier("s0", public_jwks([key])), iter(tokens * 50)
+    first = calls_per_second(lambda: verifier.verify(now, next(i), "1"), 0.4)
+    cached = calls_per_second(lambda: verifier.verify(now, tokens[-1], "1"), 0.4)
     print(json.dumps({
-        "manifests a second": round(mine), "bare handler": round(theirs),
+        "manifests a second": round(manifests), "bare handler": round(plain),
         "ratio": [round(r, 3) for r in sorted(ratios)], "tokens checked a second": round(first),
-        "checked before": round(again), "minted a second": round(paced(lambda: mint(key, grant), 0.4)),
+        "checked before": round(cached),
+        "minted a second": round(calls_per_second(lambda: mint(key, claims), 0.4)),
     }))  # fmt: skip
-    bare.close()
-    b.close()
+    baseline.close()
+    bench.close()
 
 
-def joins(near: Path, count: int = 400) -> None:
-    b, took, draw = Bench(near), {"dash": [], "whep": []}, random.Random(1)
+def joins(folder: Path, count: int = 400) -> None:
+    """Prints the join times of DASH and WHEP."""
+    bench, times, draw = Bench(folder), {"dash": [], "whep": []}, random.Random(1)
 
     def dash(i: int) -> None:
-        began, p = time.perf_counter(), b.player(f"p{i}")
-        if p.join().status == 200:
-            took["dash"].append(time.perf_counter() - began)
-            p.delete()
+        began, player = time.perf_counter(), bench.player(f"p{i}")
+        if player.join().status == 200:
+            times["dash"].append(time.perf_counter() - began)
+            player.delete()
 
     def whep(i: int) -> None:
-        began, v = time.perf_counter(), Viewer(f"v{i}", b.daemon.address, "/whep/1", lambda *a, **k: None, i)
-        if v.post(4).status == 201:
-            took["whep"].append(time.perf_counter() - began)
-            v.delete()
+        began = time.perf_counter()
+        viewer = Viewer(f"v{i}", bench.daemon.address, "/whep/1", lambda *a, **k: None, i)
+        if viewer.post(4).status == 201:
+            times["whep"].append(time.perf_counter() - began)
+            viewer.delete()
 
     running = []
     for i in range(count):
         gevent.sleep(draw.expovariate(20.0))
         running.append(gevent.spawn((dash, whep)[i % 2], i))
     gevent.joinall(running)
-    told = {
+    result = {
         name: {f"p{q}_ms": round(1000 * float(np.percentile(values, q)), 1) for q in (50, 99)}
         | {"n": len(values)}
-        for name, values in took.items()
+        for name, values in times.items()
     }
-    told["p50 ratio"] = round(float(np.median(took["dash"]) / np.median(took["whep"])), 2)
-    print(json.dumps(told))
-    b.close()
+    result["p50 ratio"] = round(float(np.median(times["dash"]) / np.median(times["whep"])), 2)
+    print(json.dumps(result))
+    bench.close()
 
 
-def rotation(near: Path, seconds: float = 20.0) -> None:
-    b = Bench(near, token=3.0, rotate=2.0, ahead=1.0)
-    dash = b.daemon.handler.dash
+def rotation(folder: Path, seconds: float = 20.0) -> None:
+    """Prints the errors of players while keys rotate."""
+    bench = Bench(folder, token=3.0, rotate=2.0, ahead=1.0)
+    dash = bench.daemon.handler.dash
     dash._reload_keys_if_due = dash.load
-    players = [b.player(f"p{i}") for i in range(40)]
+    players = [bench.player(f"p{i}") for i in range(40)]
     for p in players:
         p.join()
     gevent.joinall([gevent.spawn(p.play, seconds) for p in players])
-    refused: dict[str, int] = {}
-    for st in b.streamers:
-        for kind, n in st.segments.refused.items():
-            refused[kind] = refused.get(kind, 0) + n
+    rejected: dict[str, int] = {}
+    for streamer in bench.streamers:
+        for kind, count in streamer.segments.refused.items():
+            rejected[kind] = rejected.get(kind, 0) + count
     print(json.dumps({
         "seconds": seconds, "keys made": 1 + int(seconds // 2), "players": len(players),
-        "segments": sum(len(p.rungs) for p in players), "tokens refused": refused,
+        "segments": sum(len(p.rungs) for p in players), "tokens refused": rejected,
         "statuses not 200": sum(s != 200 for p in players for s in p.statuses),
         "kids at the end": [key.kid for key in dash.keys.rotation.keys],
     }))  # fmt: skip
-    b.close()
+    bench.close()
 
 
 def main(args: list[str]) -> None:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,11 +1,11 @@
-"""What a decision costs by streamers and held viewings, on the library alone; and where the time goes.
+"""Cost of a decision by number of streamers and held viewings, on the library alone, with a profile.
 
     python benchmarks/decisions.py [--profile] [STREAMERSxHELD ...]
 
 One controller with a package with seats, titles held by a fifth of the streamers (at least 5) or, with
-`all`, by every one. Each size holds its viewings first; then 300 requests come at 20 a second, each is
-answered at once by its streamer, and as many viewings leave. Notes come from every streamer each 2 seconds.
-Microseconds a request over all that it brings about; the time is this machine's.
+`all`, by every one. Each size first fills its held viewings. Then 300 requests arrive at 20 a second, each
+answered at once by its streamer, and as many viewings end. Every streamer reports its load each 2 seconds.
+The result is microseconds for each request, with all work that it causes.
 """
 
 import cProfile
@@ -20,23 +20,23 @@
 from herongap.ini import parse_site
 from herongap.interface import LoadReport, StreamerEntry, StreamerStatus, ViewingRequest
 
-REQUESTS, RATE, TELL = 300, 20.0, 2.0
+REQUESTS, REQUESTS_PER_SECOND, REPORT_INTERVAL_SECONDS = 300, 20.0, 2.0
 
 
 class Port:
-    """Streamers that start everything at once."""
+    """A port to streamers whose set-ups take no time."""
 
     def __init__(self):
-        self.out, self.blocked = [], 0
+        self.pending, self.blocked = [], 0
 
-    def tune_in(self, ask, number, streamer, rung, time_out):
-        self.out.append((ask.viewing, number, streamer))
+    def tune_in(self, request, number, streamer, rung, time_out):
+        self.pending.append((request.viewing, number, streamer))
 
     def answer(self, viewing, answer):
         self.blocked += answer.verdict != "plays"
 
     def tear_down(self, viewing, number, streamer, wanted):
-        self.out.append((viewing, number, None))
+        self.pending.append((viewing, number, None))
 
     def nothing(self, *_):
         return None
@@ -45,6 +45,7 @@
 
 
 def site(streamers: int):
+    """Returns the configuration of a controller, and the number of racks."""
     machines = Machines(link=40000.0, rack=400000.0, places=60)
     packages = {
         "standard": Share_(share=0.7, join_target=1.5, patience=5.0, default=True),
@@ -55,41 +56,43 @@
     return parse_site(front_ini(day, 0, 1, Path("/tmp")), Path("/tmp/decisions.ini")), size.racks
 
 
-class Cost:
-    """One size under way."""
+class Run:
+    """One run, with a number of streamers."""
 
     def __init__(self, streamers: int, everywhere: bool):
-        made, racks = site(streamers)
-        self.port, self.now, self.count, self.told = Port(), 0.0, 0, 0.0
+        configuration, racks = site(streamers)
+        self.port, self.now, self.count, self.reported_at = Port(), 0.0, 0, 0.0
         self.names = [f"s{i}" for i in range(streamers)]
-        self.host = Host(0.0, 1, made.charter, self.port)
-        lines = [
+        self.host = Host(0.0, 1, configuration.charter, self.port)
+        entries = [
             StreamerEntry(n, f"z{i % 2}", "std", n, n, f"r{i % racks}", StreamerStatus.ACTIVE, 1.0, None)
             for i, n in enumerate(self.names)
         ]
-        self.host.listed(0.0, "whole", lines)
-        each = streamers if everywhere else max(5, streamers // 5)
+        self.host.listed(0.0, "whole", entries)
+        holder_count = streamers if everywhere else max(5, streamers // 5)
         self.holders = [
-            frozenset(self.names[(t * 7 + k) % streamers] for k in range(each)) for t in range(40)
+            frozenset(self.names[(t * 7 + k) % streamers] for k in range(holder_count)) for t in range(40)
         ]
 
     def settle(self) -> None:
-        """Streamers answer, and tell their loads."""
-        while self.port.out:
-            viewing, number, streamer = self.port.out.pop()
+        """Lets the streamers answer all pending calls, with their loads."""
+        while self.port.pending:
+            viewing, number, streamer = self.port.pending.pop()
             if streamer is None:
                 self.host.torn_down(self.now, viewing, number)
             else:
                 self.host.started(self.now, viewing, number, streamer, LoadReport(0.3, None, 0.3))
 
-    def notes(self) -> None:
-        if self.now - self.told >= TELL:
-            self.told = self.now
+    def report_loads(self) -> None:
+        """Reports the load of every streamer if it is due."""
+        if self.now - self.reported_at >= REPORT_INTERVAL_SECONDS:
+            self.reported_at = self.now
             for name in self.names:
                 self.host.load_told(self.now, name, False, None, 0.3)
             self.settle()
 
-    def ask(self) -> None:
+    def request(self) -> None:
+        """Sends one request and its replies."""
         self.count += 1
         title = self.count % 40
         package = "seats" if self.count % 3 == 0 else "standard"
@@ -100,19 +103,20 @@
         self.settle()
 
     def fill(self, held: int) -> None:
+        """Sends requests until that many viewings are held."""
         while len(self.host.viewings) < held:
             self.now += 0.02
-            self.notes()
-            self.ask()
+            self.report_loads()
+            self.request()
 
     def run(self, held: int) -> float:
-        """Seconds for each request, notes left out."""
+        """Returns the seconds for each request, without load reports."""
         spent = 0.0
         for _ in range(REQUESTS):
-            self.now += 1 / RATE
-            self.notes()
+            self.now += 1 / REQUESTS_PER_SECOND
+            self.report_loads()
             began = time.perf_counter()
-            self.ask()
+            self.request()
             while len(self.host.viewings) > held:
                 self.host.left(self.now, next(iter(self.host.viewings)))
                 self.settle()
@@ -126,20 +130,20 @@
     for size in grid or ["16x0", "16x200", "160x200", "160x2000", "1000x200", "1000x2000"]:
         streamers, held = map(int, size.split("x"))
         for everywhere in (False, True):
-            cost = Cost(streamers, everywhere)
-            cost.fill(held)
+            run = Run(streamers, everywhere)
+            run.fill(held)
             profiler = cProfile.Profile()
             if profile:
                 profiler.enable()
-            spent = cost.run(held)
+            spent = run.run(held)
             profiler.disable()
-            told = {"streamers": streamers, "held": held, "holders": "all" if everywhere else "a fifth"}
-            told |= {"us a request": round(spent * 1e6), "blocked": cost.port.blocked}
+            result = {"streamers": streamers, "held": held, "holders": "all" if everywhere else "a fifth"}
+            result |= {"us a request": round(spent * 1e6), "blocked": run.port.blocked}
             if profile:
                 top = sorted(pstats.Stats(profiler).stats.items(), key=lambda row: -row[1][2])[:6]
-                whole = sum(row[2] for row in pstats.Stats(profiler).stats.values())
-                told["own time"] = {f"{name[2]}": round(row[2] / whole, 2) for name, row in top}
-            print(json.dumps(told), flush=True)
+                total = sum(row[2] for row in pstats.Stats(profiler).stats.values())
+                result["own time"] = {f"{name[2]}": round(row[2] / total, 2) for name, row in top}
+            print(json.dumps(result), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -1,13 +1,13 @@
-"""The list over etcd, on a stand-in of ours: all figures are simulated, times are this machine's.
+"""The streamer registry on a fake etcd. All figures are simulated; times depend on the machine.
 
-    python benchmarks/etcd.py drains [DRAINS] [CUTS]  new work after a drain was told, seen at the streamers
-    python benchmarks/etcd.py latency [CHANGES]       from a change to the follower's knowing
-    python benchmarks/etcd.py resync [KEYS ...]       from a compaction to a whole list again
+    python benchmarks/etcd.py drains [DRAINS] [CUTS]  new work after a drain was received
+    python benchmarks/etcd.py latency [CHANGES]       from a change until the follower has it
+    python benchmarks/etcd.py resync [KEYS ...]       from a compaction until the list is complete again
     python benchmarks/etcd.py flood [SECONDS]         1,000 events a second: CPU, memory
     python benchmarks/etcd.py herd [CONTROLLERS]      all watches break at once
-    python benchmarks/etcd.py states [CHANGES]        states of the small worlds, and the mistakes found
+    python benchmarks/etcd.py states [CHANGES]        states of the checked models, and the mistakes found
 
-Store, streamers, viewers and controller share one process, so times hold the load of all of them.
+Store, streamers, viewers and controller share one process, so times include the load of all of them.
 """
 
 import json
@@ -29,13 +29,13 @@
 from herongap.daemon.run import Daemon
 from herongap.fleet import worlds
 from herongap.ini import read_site
-from herongap.ini.parts import Etcd as Terms
+from herongap.ini.parts import Etcd as EtcdConfig
 from herongap.rehearsal.stage import PREFIX
 from herongap.standins import Streamer, StreamerPool, Viewer
 from herongap.standins.etcd import Etcd, fill, put
 from herongap.standins.farm import Log
 
-GRACE = 0.25
+GRACE_SECONDS = 0.25
 INI = (
     common.INI
     + """
@@ -45,50 +45,51 @@
 )
 
 
-def wait(true, seconds=30.0) -> None:
+def wait(condition, seconds=30.0) -> None:
     end = time.monotonic() + seconds
-    while not true():
+    while not condition():
         if time.monotonic() > end:
-            raise TimeoutError("it never came")
+            raise TimeoutError("the condition did not become true")
         gevent.sleep(0.001)
 
 
-def told(**figures) -> None:
+def report(**figures) -> None:
     print(json.dumps(figures), flush=True)
 
 
-def feeds(etcd: Etcd, count: int, **terms) -> list[StreamerRegistry]:
-    made = []
+def start_registries(etcd: Etcd, count: int, **settings) -> list[StreamerRegistry]:
+    """Starts registries, each as of another controller."""
+    registries = []
     for number in range(count):
-        t = Terms(endpoints=",".join(etcd.addresses), **terms)
+        config = EtcdConfig(endpoints=",".join(etcd.addresses), **settings)
         name = f"herongap-{number}-1"
-        feed = StreamerRegistry(
-            t, number, count, number, name, time.monotonic, lambda *_: None, lambda *_: None
+        registry = StreamerRegistry(
+            config, number, count, number, name, time.monotonic, lambda *_: None, lambda *_: None
         )
-        feed.running = feed.start()
-        made.append(feed)
-    return made
+        registry.running = registry.start()
+        registries.append(registry)
+    return registries
 
 
 def drains(count: int = 1000, cuts: int = 500) -> int:
-    """A front under load whose streamers are drained and undrained while its watches break."""
-    lines, marks = [], []
+    """Drains and undrains the streamers of a controller under load while its watches break."""
+    streamer_events, store_events = [], []
     started = time.monotonic()
-    etcd = Etcd(3, time.monotonic, lambda who, what, **d: marks.append((time.monotonic(), what, d)))
-    pool = StreamerPool(common.KIND, Log(lambda line: lines.append(json.loads(line))), seed=1)
+    etcd = Etcd(3, time.monotonic, lambda who, what, **d: store_events.append((time.monotonic(), what, d)))
+    pool = StreamerPool(common.KIND, Log(lambda line: streamer_events.append(json.loads(line))), seed=1)
     streamers = [Streamer(pool, f"s{i}", "", f"r{i % 4}") for i in range(16)]
-    values = {st.name: {"url": "http://{}:{}".format(*st.address)} for st in streamers}
+    values = {streamer.name: {"url": "http://{}:{}".format(*streamer.address)} for streamer in streamers}
     fill(etcd.history, PREFIX, values)
     draw, busy = random.Random(1), [True]
     with tempfile.TemporaryDirectory() as folder:
-        near = Path(folder)
-        (near / "catalogue.json").write_text(json.dumps({"titles": {"1": list(values)}}))
-        (near / "front.ini").write_text(INI.format(endpoints=", ".join(etcd.addresses)))
-        daemon = Daemon(read_site(near / "front.ini"))
+        directory = Path(folder)
+        (directory / "catalogue.json").write_text(json.dumps({"titles": {"1": list(values)}}))
+        (directory / "front.ini").write_text(INI.format(endpoints=", ".join(etcd.addresses)))
+        daemon = Daemon(read_site(directory / "front.ini"))
         daemon.start()
         wait(lambda: daemon.registry.state == "following")
 
-        def live(number: int) -> None:
+        def run_viewer(number: int) -> None:
             viewer = Viewer(f"v{number}", daemon.address, "/whep/1", lambda *a, **k: None, number)
             if viewer.post(4).status == 201:
                 viewer.play(0.5)
@@ -98,10 +99,10 @@
             number = 0
             while busy[0]:
                 number += 1
-                gevent.spawn(live, number)
+                gevent.spawn(run_viewer, number)
                 gevent.sleep(draw.expovariate(50.0))
 
-        def cutting() -> None:
+        def break_streams() -> None:
             for i in range(cuts):
                 gevent.sleep(draw.uniform(0.5, 1.5) * count * 0.1 / cuts)
                 member = draw.choice(etcd.members)
@@ -109,7 +110,7 @@
                 if i % 3:
                     etcd.cut()
                     continue
-                # Away while streamers drain, and what was missed is compacted.
+                # All members are down while streamers drain, and the missed changes are compacted.
                 for member in etcd.members:
                     member.stop()
                 gevent.sleep(draw.uniform(0.05, 0.3))
@@ -117,7 +118,7 @@
                 for member in etcd.members:
                     member.start()
 
-        running = [gevent.spawn(load), gevent.spawn(cutting)]
+        running = [gevent.spawn(load), gevent.spawn(break_streams)]
         drained: list[str] = []
         for _ in range(count):
             gevent.sleep(draw.uniform(0.05, 0.15))
@@ -132,64 +133,76 @@
         daemon.kill()
     etcd.close()
     pool.close()
-    # Of each streamer in turn: when this front was first told of the drain that still stands.
-    words = [(at, 0, what, d) for at, what, d in marks]
-    words += [(at, 1, "post", {"streamer": who}) for at, who, what, _ in lines if what == "post"]
-    since: dict[str, float] = {}
+    # By streamer: when the controller first received the drain that is still in effect.
+    events = [(at, 0, what, d) for at, what, d in store_events]
+    events += [(at, 1, "post", {"streamer": who}) for at, who, what, _ in streamer_events if what == "post"]
+    known_since: dict[str, float] = {}
     posts = late = 0
-    after, unknown, standing = [], 0, set()
-    for at, _, what, d in sorted(words, key=lambda w: w[:2]):
+    delays, unknown, drained_now = [], 0, set()
+    for at, _, what, d in sorted(events, key=lambda event: event[:2]):
         name = d["streamer"]
         if what == "post":
             posts += 1
-            unknown += name in standing and name not in since
-            if name in since:
-                after.append(at - since[name])
-                late += at - since[name] > GRACE
+            unknown += name in drained_now and name not in known_since
+            if name in known_since:
+                delays.append(at - known_since[name])
+                late += at - known_since[name] > GRACE_SECONDS
         elif what == "drain":
-            (standing.add if d["drained"] else standing.discard)(name)
+            (drained_now.add if d["drained"] else drained_now.discard)(name)
             if not d["drained"]:
-                since.pop(name, None)
-        elif d["drained"] and name in standing:
-            since.setdefault(name, at)
+                known_since.pop(name, None)
+        elif d["drained"] and name in drained_now:
+            known_since.setdefault(name, at)
     counts = daemon.registry.follower.counts
-    told(drains=count, forced_disconnects=cuts, tune_ins=posts, later_than_grace=late,
-         within_grace=len(after), latest_ms=round(1000 * max(after, default=0.0), 1),
-         before_it_could_be_known=unknown, watches=counts["watches"], compacted=counts["compacted"],
-         seconds=round(time.monotonic() - started))  # fmt: skip
+    report(
+        drains=count,
+        forced_disconnects=cuts,
+        tune_ins=posts,
+        later_than_grace=late,
+        within_grace=len(delays),
+        latest_ms=round(1000 * max(delays, default=0.0), 1),
+        before_it_could_be_known=unknown,
+        watches=counts["watches"],
+        compacted=counts["compacted"],
+        seconds=round(time.monotonic() - started),
+    )
     return 1 if late else 0
 
 
 def latency(count: int = 2000) -> int:
-    """One change at a time, 200 a second."""
+    """Measures single changes, 200 a second."""
     etcd, seen = Etcd(3, time.monotonic), {}
-    (feed,) = feeds(etcd, 1)
-    feed.on_list_change = lambda kind, lines, _: [
+    (registry,) = start_registries(etcd, 1)
+    registry.on_list_change = lambda kind, lines, _: [
         seen.setdefault(line.streamer, time.monotonic()) for line in lines
     ]
-    wait(lambda: feed.state == "following")
+    wait(lambda: registry.state == "following")
     sent = {}
     for i in range(count):
         sent[f"n{i}"] = time.monotonic()
         put(etcd.history, f"{PREFIX}streamers/n{i}", v=1, url="http://127.0.0.1:1")
         gevent.sleep(0.005)
     wait(lambda: len(seen) == count)
-    took = 1000 * np.array([seen[name] - at for name, at in sent.items()])
-    told(changes=count, p50_ms=round(float(np.percentile(took, 50)), 2),
-         p99_ms=round(float(np.percentile(took, 99)), 2), most_ms=round(float(took.max()), 2))  # fmt: skip
-    feed.close()
+    latencies = 1000 * np.array([seen[name] - at for name, at in sent.items()])
+    report(
+        changes=count,
+        p50_ms=round(float(np.percentile(latencies, 50)), 2),
+        p99_ms=round(float(np.percentile(latencies, 99)), 2),
+        most_ms=round(float(latencies.max()), 2),
+    )
+    registry.close()
     etcd.close()
     return 0
 
 
 def resync(sizes: list[int]) -> int:
-    """The watch breaks and what it missed is compacted: how long until the list is whole again."""
+    """Measures the time to a complete list after the changes that a broken watch missed were compacted."""
     for size in sizes:
         etcd = Etcd(1, time.monotonic)
         value = {"url": "http://127.0.0.1:1", "zone": "z1", "rack": "r12"}
         fill(etcd.history, PREFIX, {f"n{i}": value for i in range(size)})
-        (feed,) = feeds(etcd, 1, time_out=30.0)
-        wait(lambda f=feed: f.state == "following", 120)
+        (registry,) = start_registries(etcd, 1, time_out=30.0)
+        wait(lambda f=registry: f.state == "following", 120)
         took = []
         for turn in range(5):
             put(etcd.history, f"{PREFIX}drains/n{turn}", v=1)
@@ -197,26 +210,27 @@
             etcd.members[0].stop()
             put(etcd.history, f"{PREFIX}drains/m{turn}", v=1)
             etcd.history.compact()
-            reads = feed.follower.counts["reads"]
+            reads = registry.follower.counts["reads"]
             etcd.members[0].start()
             began = time.monotonic()
-            wait(lambda f=feed, n=reads: f.follower.counts["reads"] > n, 60)
+            wait(lambda f=registry, n=reads: f.follower.counts["reads"] > n, 60)
             took.append(time.monotonic() - began)
-        told(keys=size, resync_ms=[round(1000 * t) for t in sorted(took)])
-        feed.close()
+        report(keys=size, resync_ms=[round(1000 * t) for t in sorted(took)])
+        registry.close()
         etcd.close()
     return 0
 
 
 def flood(seconds: float = 20.0) -> int:
-    """The follower in a process of its own while 1,000 keys change a second."""
+    """Runs a follower in a separate process while 1,000 keys change a second."""
     etcd = Etcd(1, time.monotonic)
     value = {"url": "http://127.0.0.1:1"}
     fill(etcd.history, PREFIX, {f"n{i}": value for i in range(1000)})
     process = subprocess.Popen(
         [sys.executable, __file__, "follow", etcd.addresses[0], str(seconds + 3)],
-        stdout=subprocess.PIPE, text=True,
-    )  # fmt: skip
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     wait(lambda: etcd.members[0].streams)
     began, count = time.monotonic(), 0
     while time.monotonic() - began < seconds:
@@ -225,33 +239,45 @@
             count += 1
         gevent.sleep(max(0.0, began + count / 1000 - time.monotonic()))
     hub = gevent.get_hub().threadpool
-    got = json.loads(hub.apply(process.stdout.readline))
-    told(events=count, a_second=round(count / seconds), **got)
+    usage = json.loads(hub.apply(process.stdout.readline))
+    report(events=count, a_second=round(count / seconds), **usage)
     etcd.close()
-    return 0 if got["events_taken"] >= count else 1
+    return 0 if usage["events_taken"] >= count else 1
 
 
 def follow(address: str, seconds: float) -> int:
-    """The process of `flood`."""
-    feed = StreamerRegistry(Terms(endpoints=address), 0, 1, 1, "herongap-0-1", time.monotonic,
-                lambda *_: None, lambda *_: None)  # fmt: skip
-    feed.start()
-    wait(lambda: feed.state == "following")
+    """Runs the follower process of `flood`."""
+    registry = StreamerRegistry(
+        EtcdConfig(endpoints=address),
+        0,
+        1,
+        1,
+        "herongap-0-1",
+        time.monotonic,
+        lambda *_: None,
+        lambda *_: None,
+    )
+    registry.start()
+    wait(lambda: registry.state == "following")
     before = resource.getrusage(resource.RUSAGE_SELF)
     gevent.sleep(seconds)
     after = resource.getrusage(resource.RUSAGE_SELF)
     cpu = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
-    told(cpu_s=round(cpu, 2), us_an_event=round(1e6 * cpu / max(1, feed.follower.counts["events"])),
-         MB_before=round(before.ru_maxrss / 1024), MB_most=round(after.ru_maxrss / 1024),
-         events_taken=feed.follower.counts["events"])  # fmt: skip
+    report(
+        cpu_s=round(cpu, 2),
+        us_an_event=round(1e6 * cpu / max(1, registry.follower.counts["events"])),
+        MB_before=round(before.ru_maxrss / 1024),
+        MB_most=round(after.ru_maxrss / 1024),
+        events_taken=registry.follower.counts["events"],
+    )
     return 0
 
 
 def herd(count: int = 230) -> int:
-    """All controllers lose all members at once and come back."""
+    """Breaks the connections of all controllers to all members at once, and measures their recovery."""
     etcd = Etcd(3, time.monotonic)
     fill(etcd.history, PREFIX, {f"n{i}": {"url": "http://127.0.0.1:1"} for i in range(160)})
-    fleet = feeds(etcd, count, ttl=30.0)
+    fleet = start_registries(etcd, count, ttl=30.0)
     wait(lambda: all(f.state == "following" for f in fleet), 60)
     for name, compacted in (("cut", False), ("cut and compacted", True), ("away for 3 s", False)):
         before = [m.requests for m in etcd.members]
@@ -269,19 +295,25 @@
             etcd.history.compact()
             for member in etcd.members:
                 member.start()
-        began, back = time.monotonic(), {}
+        began, recovered = time.monotonic(), {}
         if name == "cut":
             etcd.cut()
             gevent.sleep(0.001)
-        while len(back) < count and time.monotonic() - began < 60:
+        while len(recovered) < count and time.monotonic() - began < 60:
             gevent.sleep(0.005)
             for i, f in enumerate(fleet):
                 if f.follower.watching and f.follower.revision == etcd.history.revision:
-                    back.setdefault(i, time.monotonic() - began)
-        took = np.array(sorted(back.values()))
-        asked = [m.requests - b for m, b in zip(etcd.members, before, strict=True)]
-        told(herd=name, controllers=count, back=len(back), p50_s=round(float(np.percentile(took, 50)), 3),
-             last_s=round(float(took.max()), 3), requests=asked)  # fmt: skip
+                    recovered.setdefault(i, time.monotonic() - began)
+        took = np.array(sorted(recovered.values()))
+        requests = [m.requests - b for m, b in zip(etcd.members, before, strict=True)]
+        report(
+            herd=name,
+            controllers=count,
+            back=len(recovered),
+            p50_s=round(float(np.percentile(took, 50)), 3),
+            last_s=round(float(took.max()), 3),
+            requests=requests,
+        )
     for f in fleet:
         gevent.killall(f.running)
     etcd.close()
@@ -289,32 +321,37 @@
 
 
 def states(changes: int = 3) -> int:
-    """What `minicheck` explores; exit code 1 where a property fails or a mistake is not found."""
-    bad = 0
+    """Explores the worlds with `minicheck`; returns 1 if a property fails or a mistake is not found."""
+    failures = 0
     for world in (worlds.following(2), worlds.following(changes), worlds.leasing()):
         began = time.monotonic()
-        moves = [0]
+        transition_count = [0]
 
-        def counted(state, inner=world.transitions, moves=moves):
+        def counted(state, inner=world.transitions, transition_count=transition_count):
             found = inner(state)
-            moves[0] += len(found)
+            transition_count[0] += len(found)
             return found
 
         found = check_safety(world.__class__(**{**vars(world), "transitions": counted}), max_states=5_000_000)
         holds = {name: p["holds"] for name, p in found["properties"].items()}
-        bad += not all(holds.values())
-        told(world=world.name, states=found["reachable_states"], transitions=moves[0], holds=holds,
-             seconds=round(time.monotonic() - began, 1))  # fmt: skip
+        failures += not all(holds.values())
+        report(
+            world=world.name,
+            states=found["reachable_states"],
+            transitions=transition_count[0],
+            holds=holds,
+            seconds=round(time.monotonic() - began, 1),
+        )
     live = check_liveness(worlds.following(2))["holds"]
-    bad += live is not True
-    told(world="following", from_every_state_it_can_catch_up=live)
+    failures += live is not True
+    report(world="following", from_every_state_it_can_catch_up=live)
     for mistake in worlds.MISTAKES:
         properties = check_safety(worlds.broken(mistake, 2))["properties"]
-        ways = {n: p["counterexample"] for n, p in properties.items() if p["holds"] is False}
-        bad += not ways
-        steps = min(map(len, ways.values()), default=0) - 1
-        told(mistake=mistake.__name__, what=mistake.__doc__, broken=list(ways), steps=steps)
-    return 1 if bad else 0
+        counterexamples = {n: p["counterexample"] for n, p in properties.items() if p["holds"] is False}
+        failures += not counterexamples
+        steps = min(map(len, counterexamples.values()), default=0) - 1
+        report(mistake=mistake.__name__, what=mistake.__doc__, broken=list(counterexamples), steps=steps)
+    return 1 if failures else 0
 
 
 def main(args: list[str]) -> int:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,10 @@
-"""How large a fleet the model bears: virtual seconds for each real second, memory, and what a request costs.
+"""Capacity of the fleet model: virtual seconds for each real second, memory, and the cost of a request.
 
     python benchmarks/fleet.py [SIZE ...]        SIZE is CONTROLLERSxSTREAMERS, such as 230x160
 
-Each size runs in a process of its own. Viewings come in proportion to the streamers, so that links are asked
-for alike at every size; a tenth of the streamers go silent and a deploy replaces a third. All figures are
-simulated but the time and memory, which are this machine's.
+Each size runs in its own process. Viewings arrive in proportion to the streamers, so that the links have the
+same load at every size. A tenth of the streamers go silent, and a deployment replaces a third. Time and
+memory are real; all other figures are simulated.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def day(controllers: int, streamers: int, seconds: float) -> Day:
-    """A day of that size; 0.75 viewings a second for each ten streamers, of 30 s on the mean."""
+    """Returns a day of that size, with 0.75 viewings a second for each ten streamers, of 30 s on average."""
     size = Size(
         seconds=seconds,
         rate=max(2.0, 0.075 * streamers),
@@ -42,28 +42,29 @@
     return Day(size, Clients(), machines, packages, troubles)
 
 
-def one(controllers: int, streamers: int, seconds: float) -> dict:
+def measure(controllers: int, streamers: int, seconds: float) -> dict:
+    """Runs one size and returns its figures."""
     model = Model(day(controllers, streamers, seconds), 1)
     began = time.perf_counter()
     lines = model.run()
-    real = time.perf_counter() - began
-    asked = sum(what == "asked" for _, _, what, _ in lines)
-    broken = len(check(Outcome(model.day, model.script, 0.0, lines)))
+    real_seconds = time.perf_counter() - began
+    requests = sum(what == "asked" for _, _, what, _ in lines)
+    break_count = len(check(Outcome(model.day, model.script, 0.0, lines)))
     return {
         "size": f"{controllers}x{streamers}",
-        "viewings": asked,
+        "viewings": requests,
         "held at most": model.held_most,
-        "virtual s a real s": round((seconds + 40) / real, 2),
-        "real s": round(real, 1),
-        "ms a viewing": round(1000 * real / asked, 2),
+        "virtual s a real s": round((seconds + 40) / real_seconds, 2),
+        "real s": round(real_seconds, 1),
+        "ms a viewing": round(1000 * real_seconds / requests, 2),
         "MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
-        "rules broken": broken,
+        "rules broken": break_count,
     }
 
 
 def main(sizes: list[str]) -> None:
     if sizes[:1] == ["--one"]:
-        print(json.dumps(one(int(sizes[1]), int(sizes[2]), float(sizes[3]))))
+        print(json.dumps(measure(int(sizes[1]), int(sizes[2]), float(sizes[3]))))
         return
     for size in sizes or ["3x16", "60x50", "230x160", "1000x1000"]:
         controllers, streamers = size.split("x")
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -1,11 +1,11 @@
-"""What the decisions cost: our front beside a pass-through front of ours, in turn, in one run.
+"""The cost of decisions: the controller and a pass-through gateway, measured alternately in one run.
 
     python benchmarks/front.py [--rounds 3] [--held 1,100,1000]
 
-Simulated streamers answer at once; they, the front and the load are processes of their own on this machine.
-Printed: join time (p50, p99) at a rate that both bear easily while so many viewings are held, as ratios; the
-rate that each bears (99% answered with 201 within half a second); at twice that rate, the share answered in
-time; memory a held viewing. Ratios are medians over the rounds with their least and greatest.
+Fake streamers answer at once. They, the gateway and the load generators are separate processes. Printed are:
+join time (p50, p99) at a rate that both can easily handle while a number of viewings are held, as ratios; the
+capacity of each (99% answered with 201 within half a second); at twice that rate, the share answered in time;
+memory for each held viewing. Ratios are medians over the rounds, with the least and greatest.
 """
 
 import json
@@ -51,41 +51,44 @@
 """
 
 
-class Rig:
-    """Streamers in two processes, and a front started anew for each figure."""
+class Fleet:
+    """Streamers in two processes, and a gateway that is started again for each figure."""
 
     def __init__(self, folder: Path, streamers: int):
-        self.folder, self.farms, lines = folder, [], []
+        self.folder, self.pools, entries = folder, [], []
         for n in range(2):
             names = [[f"s{n}-{i}", "", f"r{n}-{i}"] for i in range(streamers // 2)]
-            what = {"kind": KIND, "seed": n, "log": "/dev/null", "streamers": names}
-            (folder / f"farm{n}.json").write_text(json.dumps(what))
-            farm = subprocess.Popen(
+            config = {"kind": KIND, "seed": n, "log": "/dev/null", "streamers": names}
+            (folder / f"farm{n}.json").write_text(json.dumps(config))
+            pool = subprocess.Popen(
                 [sys.executable, "-m", "herongap.rehearsal.farm", str(folder / f"farm{n}.json")],
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
             )  # fmt: skip
-            self.farms.append(farm)
-            for name, (host, port) in json.loads(farm.stdout.readline()).items():
-                lines.append({"id": name, "url": f"http://{host}:{port}"})
-        (folder / "streamers.json").write_text(json.dumps({"streamers": lines}))
-        (folder / "catalogue.json").write_text(json.dumps({"titles": {"*": [line["id"] for line in lines]}}))
+            self.pools.append(pool)
+            for name, (host, port) in json.loads(pool.stdout.readline()).items():
+                entries.append({"id": name, "url": f"http://{host}:{port}"})
+        (folder / "streamers.json").write_text(json.dumps({"streamers": entries}))
+        (folder / "catalogue.json").write_text(
+            json.dumps({"titles": {"*": [entry["id"] for entry in entries]}})
+        )
 
-    def front(self, kind: str, setting_up: int = 100000) -> tuple[subprocess.Popen, int]:
+    def start_gateway(self, kind: str, setting_up: int = 100000) -> tuple[subprocess.Popen, int]:
+        """Starts a controller or a pass-through gateway; returns its process and port."""
         file = self.folder / f"{kind}.ini"
         file.write_text(INI.format(setting_up=setting_up))
-        ours = ["-m", "herongap.rehearsal.controller", str(file), "herongap"]
-        command = ours if kind == "herongap" else [str(HERE / "passthrough.py"), str(file)]
-        front = subprocess.Popen([sys.executable, *command], stdout=subprocess.PIPE, text=True)
-        return front, int(front.stdout.readline().rsplit(":", 1)[1])
+        controller = ["-m", "herongap.rehearsal.controller", str(file), "herongap"]
+        command = controller if kind == "herongap" else [str(HERE / "passthrough.py"), str(file)]
+        gateway = subprocess.Popen([sys.executable, *command], stdout=subprocess.PIPE, text=True)
+        return gateway, int(gateway.stdout.readline().rsplit(":", 1)[1])
 
     def close(self) -> None:
-        for farm in self.farms:
-            farm.stdin.close()
-            farm.wait()
+        for pool in self.pools:
+            pool.stdin.close()
+            pool.wait()
 
 
 def load(port: int, rate: float, seconds: float, hold: float, processes: int = 2) -> list[list[float]]:
-    """What came of an open-loop load, over some processes."""
+    """Runs an open-loop load over some processes; returns the status and seconds of each viewing."""
     running = [
         subprocess.Popen(
             [sys.executable, str(HERE / "load.py"), *map(str, (port, rate / processes, seconds, hold, seed))],
@@ -96,19 +99,19 @@
     return [pair for process in running for pair in json.loads(process.communicate()[0])]
 
 
-def quantile(times: list[float], part: float) -> float:
+def quantile(times: list[float], fraction: float) -> float:
     times = sorted(times)
-    return times[min(len(times) - 1, int(part * len(times)))]
+    return times[min(len(times) - 1, int(fraction * len(times)))]
 
 
 def rss(process: subprocess.Popen) -> int:
-    """Resident kilobytes of a process."""
+    """Returns the resident memory of a process in kB."""
     lines = Path(f"/proc/{process.pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS"))
 
 
-class Holder:
-    """Viewings held from a process of their own while a figure is taken."""
+class HeldViewings:
+    """Viewings that a separate process holds during a measurement."""
 
     def __init__(self, port: int, count: int):
         seconds = max(1.0, count / 200)
@@ -127,35 +130,38 @@
         subprocess.run(["sleep", str(seconds + 2)], check=True)
 
     def release(self) -> None:
+        """Kills the process."""
         self.process.kill()
         self.process.wait()
 
 
-def joins(rig: Rig, kind: str, held: int, rate: float) -> tuple[float, float, float]:
-    front, port = rig.front(kind)
+def joins(fleet: Fleet, kind: str, held: int, rate: float) -> tuple[float, float, float]:
+    """Returns the join time's p50 and p99 in seconds, and kB for each held viewing."""
+    gateway, port = fleet.start_gateway(kind)
     try:
         load(port, 20, 1, 0.0, 1)
-        before = rss(front)
-        holder = Holder(port, held)
-        kb = (rss(front) - before) / held
+        before = rss(gateway)
+        held_viewings = HeldViewings(port, held)
+        kb = (rss(gateway) - before) / held
         times = [taken for status, taken in load(port, rate, 6, 0.05) if status == 201]
-        holder.release()
+        held_viewings.release()
         return quantile(times, 0.5), quantile(times, 0.99), kb
     finally:
-        front.kill()
-        front.wait()
+        gateway.kill()
+        gateway.wait()
 
 
-def bears(rig: Rig, kind: str) -> float:
+def capacity(fleet: Fleet, kind: str) -> float:
+    """Returns the highest rate at which 99% are answered with 201 within half a second."""
     best, rate = 0.0, 120.0
     while rate <= 1600:
-        front, port = rig.front(kind)
+        gateway, port = fleet.start_gateway(kind)
         try:
-            got = load(port, rate, 4, 0.05, 3)
+            results = load(port, rate, 4, 0.05, 3)
         finally:
-            front.kill()
-            front.wait()
-        if sum(status == 201 and taken <= 0.5 for status, taken in got) < 0.99 * len(got):
+            gateway.kill()
+            gateway.wait()
+        if sum(status == 201 and taken <= 0.5 for status, taken in results) < 0.99 * len(results):
             break
         best, rate = rate, round(rate * 1.2)
     return best
@@ -167,13 +173,13 @@
 @click.option("--rate", default=40.0)
 @click.option("--streamers", default=8)
 def main(rounds: int, held: str, rate: float, streamers: int) -> None:
-    """Take all figures and print them."""
+    """Take all measurements and print them."""
     with tempfile.TemporaryDirectory() as folder:
-        rig = Rig(Path(folder), streamers)
+        fleet = Fleet(Path(folder), streamers)
         try:
             for count in map(int, held.split(",")):
                 both = [
-                    [joins(rig, kind, count, rate) for kind in ("herongap", "passthrough")]
+                    [joins(fleet, kind, count, rate) for kind in ("herongap", "passthrough")]
                     for _ in range(rounds)
                 ]
                 for name, at in (("p50", 0), ("p99", 1)):
@@ -185,7 +191,7 @@
                     )
                 kb = [statistics.median(pair[i][2] for pair in both) for i in (0, 1)]
                 click.echo(f"held {count}: {kb[0]:.0f} kB a viewing, pass-through {kb[1]:.0f} kB")
-            rates = [(bears(rig, "herongap"), bears(rig, "passthrough")) for _ in range(rounds)]
+            rates = [(capacity(fleet, "herongap"), capacity(fleet, "passthrough")) for _ in range(rounds)]
             ratios = sorted(a / b for a, b in rates)
             ours = statistics.median(a for a, _ in rates)
             theirs = statistics.median(b for _, b in rates)
@@ -196,12 +202,12 @@
             for setting_up in (100000, 500):
                 shares = []
                 for _ in range(rounds):
-                    front, port = rig.front("herongap", setting_up)
-                    got = load(port, 2 * ours, 6, 0.05, 4)
-                    front.kill()
-                    front.wait()
-                    answered = sum(s != 0 and taken <= 1.5 for s, taken in got) / len(got)
-                    plays = sum(s == 201 and taken <= 1.5 for s, taken in got) / len(got)
+                    gateway, port = fleet.start_gateway("herongap", setting_up)
+                    results = load(port, 2 * ours, 6, 0.05, 4)
+                    gateway.kill()
+                    gateway.wait()
+                    answered = sum(s != 0 and taken <= 1.5 for s, taken in results) / len(results)
+                    plays = sum(s == 201 and taken <= 1.5 for s, taken in results) / len(results)
                     shares.append((answered, plays))
                 answered, plays = (statistics.median(s[i] for s in shares) for i in (0, 1))
                 click.echo(
@@ -209,7 +215,7 @@
                     f"within the join target, {plays:.2f} of all play within it"
                 )
         finally:
-            rig.close()
+            fleet.close()
 
 
 if __name__ == "__main__":
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,11 +1,11 @@
-"""Membership in virtual time: seconds to find a death, live ones called gone, bytes; beside plain SWIM.
+"""Membership in virtual time: detection time, false positives and traffic, compared with plain SWIM.
 
     python benchmarks/gossip.py [SIZE ...] [--seeds N]
 
-Each seed runs 30 s to settle, then a minute in which one in ten members is stopped for 0.3 to 7 s, twice,
-while datagrams get lost; then three are killed. Plain SWIM has a fixed suspicion, no health, no notice of
-pauses and no confirmations. Leases alone, of 6 s and renewed each 2 s, are computed: a death is told when the
-lease is over, a pause past it is a death.
+Each seed runs 30 s to settle, then a minute in which one in ten members is paused for 0.3 to 7 s, twice, with
+datagram loss; then three are killed. Plain SWIM has a fixed suspicion timeout, no health score, no detection
+of pauses and no confirmations. Leases alone, of 6 s and renewed each 2 s, are computed: a failure is detected
+when the lease expires, and a longer pause counts as a failure.
 """
 
 import sys
@@ -17,34 +17,36 @@
 from herongap.gossip import GossipConfig, MemberStatus
 
 PLAIN = GossipConfig(max_health=0, max_suspicion_factor=1.0, confirmations=0, detects_pauses=False)
-TTL = 6.0
+LEASE_SECONDS = 6.0
+UNDETECTED_SECONDS = 40.0  # counted for a death that was not detected
+PAUSE_GRACE_SECONDS = 5.0
 
 
-class Watch:
-    """Counts, at each look, members that run and are newly called gone by another that runs."""
+class FalsePositives:
+    """Counts running members that another running member newly declares gone."""
 
     def __init__(self, net: Net):
-        self.net, self.wrong, self.seen = net, 0, set()
+        self.net, self.count, self.counted = net, 0, set()
 
-    def look(self, stopped: dict[int, float]) -> None:
+    def update(self, stopped: dict[int, float]) -> None:
         now, members = self.net.clock.now, self.net.members
         for m in members.values():
             if m.dead or not m.running:
                 continue
-            for number, word in m.gossip.members.records.items():
-                other, key = members.get(number), (m.number, number, word.incarnation, word.refutations)
-                if word.status != MemberStatus.GONE or key in self.seen or other is None or other.dead:
+            for number, record in m.gossip.members.records.items():
+                other, key = members.get(number), (m.number, number, record.incarnation, record.refutations)
+                if record.status != MemberStatus.GONE or key in self.counted or other is None or other.dead:
                     continue
-                self.seen.add(key)
-                # Whoever is stopped now, or was until a moment ago, may be called gone: it did not answer.
-                self.wrong += other.running and now - stopped.get(number, -99.0) > 5.0
+                self.counted.add(key)
+                # A member that is paused, or was until a moment ago, did not answer: not a false positive.
+                self.count += other.running and now - stopped.get(number, -99.0) > PAUSE_GRACE_SECONDS
 
 
 def play(size: int, seed: int, lost: float, terms: GossipConfig) -> tuple[list[float], float, float, float]:
-    """Seconds until each that runs knew of each death; wrong words an hour; bytes and datagrams a second."""
+    """Returns the detection times of deaths, false positives an hour, and bytes and datagrams a second."""
     net, chance, ended = Net(size, seed, terms, lost), Random(seed), {}
     net.run(30)
-    watch, sent, told = Watch(net), net.total("sent"), net.total("bytes")
+    false_positives, sent, sent_bytes = FalsePositives(net), net.total("sent"), net.total("bytes")
     for number in chance.sample(range(size), max(1, size // 10)):
         for _ in range(2):
             at, lasts = 30 + chance.uniform(0, 45), chance.uniform(0.3, 7)
@@ -52,40 +54,45 @@
             ended[number] = max(ended.get(number, 0.0), at + lasts)
     while net.clock.now < 90:
         net.run(net.clock.now + 0.2)
-        watch.look(ended)
-    rate = [(net.total(name) - was) / 60 / size for name, was in (("sent", sent), ("bytes", told))]
+        false_positives.update(ended)
+    rate = [(net.total(name) - was) / 60 / size for name, was in (("sent", sent), ("bytes", sent_bytes))]
     found = []
     for number in chance.sample(range(size), 3):
         net.kill(number)
-        began, left = net.clock.now, {m.number for m in net.members.values() if not m.dead}
-        while left and net.clock.now < began + 40:
+        began, unaware = net.clock.now, {m.number for m in net.members.values() if not m.dead}
+        while unaware and net.clock.now < began + UNDETECTED_SECONDS:
             net.run(net.clock.now + 0.1)
-            knows = {n for n in left if net.standing(number, n) == MemberStatus.GONE}
-            found += [net.clock.now - began] * len(knows)
-            left -= knows
-        found += [40.0] * len(left)
-    return found, watch.wrong / (size * 60 / 3600), rate[1], rate[0]
+            aware = {n for n in unaware if net.standing(number, n) == MemberStatus.GONE}
+            found += [net.clock.now - began] * len(aware)
+            unaware -= aware
+        found += [UNDETECTED_SECONDS] * len(unaware)
+    return found, false_positives.count / (size * 60 / 3600), rate[1], rate[0]
 
 
 def leases(size: int, seed: int) -> tuple[list[float], float]:
-    """The same for leases alone, where the store never fails."""
+    """Returns detection times and false positives an hour of leases alone; the store never fails."""
     chance = Random(seed)
-    found = [TTL - chance.uniform(0, TTL / 3) for _ in range(3 * size)]
+    found = [LEASE_SECONDS - chance.uniform(0, LEASE_SECONDS / 3) for _ in range(3 * size)]
     pauses = 2 * max(1, size // 10)
-    wrong = sum(chance.uniform(0.3, 7) > TTL - chance.uniform(0, TTL / 3) for _ in range(pauses))
+    wrong = sum(
+        chance.uniform(0.3, 7) > LEASE_SECONDS - chance.uniform(0, LEASE_SECONDS / 3) for _ in range(pauses)
+    )
     return found, wrong * (size - 1) / (size * 60 / 3600)
 
 
-def line(name: str, size: int, lost: float, runs: list[tuple]) -> str:
+def summary(name: str, size: int, lost: float, runs: list[tuple]) -> str:
+    """Returns one line of output."""
     found = sorted(x for run in runs for x in run[0])
-    cuts = quantiles(found, n=100)
+    percentiles = quantiles(found, n=100)
     wrong = [run[1] for run in runs]
-    wide = 1.96 * stdev(wrong) / len(wrong) ** 0.5 if len(wrong) > 1 else 0.0
-    more = ""
+    interval = 1.96 * stdev(wrong) / len(wrong) ** 0.5 if len(wrong) > 1 else 0.0
+    traffic = ""
     if len(runs[0]) > 2:
-        more = f"{mean(r[2] for r in runs):7.0f} B/s {mean(r[3] for r in runs):5.1f} a second"
-    return (f"{name:12} {size:4} {lost:5.0%}  found p50 {cuts[49]:5.1f} s p99 {cuts[98]:5.1f} s  wrong "
-            f"{mean(wrong):8.2f} +- {wide:.2f} an hour  {more}")  # fmt: skip
+        traffic = f"{mean(r[2] for r in runs):7.0f} B/s {mean(r[3] for r in runs):5.1f} a second"
+    return (
+        f"{name:12} {size:4} {lost:5.0%}  found p50 {percentiles[49]:5.1f} s p99 {percentiles[98]:5.1f} s  "
+        f"wrong {mean(wrong):8.2f} +- {interval:.2f} an hour  {traffic}"
+    )
 
 
 def main(sizes: list[int], seeds: int) -> None:
@@ -95,9 +102,11 @@
                 began = time.process_time()
                 runs = [play(size, seed, lost, terms) for seed in range(1, seeds + 1)]
                 cpu = (time.process_time() - began) / seeds / size / 100
-                print(line(name, size, lost, runs), f" {1000 * cpu:.1f} ms of processor a second", flush=True)
+                print(
+                    summary(name, size, lost, runs), f" {1000 * cpu:.1f} ms of processor a second", flush=True
+                )
         runs = [leases(size, seed) for seed in range(1, seeds + 1)]
-        print(line("leases", size, 0.0, runs), flush=True)
+        print(summary("leases", size, 0.0, runs), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,9 +1,9 @@
-"""One process of load: viewings at a fixed rate, whether or not earlier ones were answered (open loop).
+"""A load generator process: viewings at a fixed rate, whether or not earlier ones were answered (open loop).
 
     python benchmarks/load.py PORT RATE SECONDS HOLD SEED
 
-Each viewing is a POST, then after HOLD seconds a DELETE. Prints one JSON line: [status, seconds] of each
-POST, the time counted from when it was due, so that a late client counts against the front and not for it.
+Each viewing is a POST, and after HOLD seconds a DELETE. Prints one JSON line: [status, seconds] of each POST.
+The time counts from when the POST was due, so a delayed load generator can't make the controller look faster.
 """
 
 import json
@@ -16,16 +16,16 @@
 
 
 def main(port: int, rate: float, seconds: float, hold: float, seed: int) -> None:
-    results, live = [], []
+    results, running = [], []
     viewers = [
         Viewer(f"b{seed}-{i}", ("127.0.0.1", port), f"/whep/{i % 20}?top=0", lambda *a, **d: None, seed)
         for i in range(int(rate * seconds))
     ]
 
-    def one(viewer: Viewer, due: float) -> None:
-        tried = viewer.post(10.0)
-        results.append([tried.status, time.monotonic() - due])
-        if tried.status == 201:
+    def run_viewing(viewer: Viewer, due: float) -> None:
+        result = viewer.post(10.0)
+        results.append([result.status, time.monotonic() - due])
+        if result.status == 201:
             gevent.sleep(hold)
             viewer.delete()
 
@@ -33,8 +33,8 @@
     for i, viewer in enumerate(viewers):
         due = start + i / rate
         gevent.sleep(max(0.0, due - time.monotonic()))
-        live.append(gevent.spawn(one, viewer, due))
-    gevent.joinall(live, timeout=30)
+        running.append(gevent.spawn(run_viewing, viewer, due))
+    gevent.joinall(running, timeout=30)
     print(json.dumps(results))
 
 
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,5 +1,6 @@
-"""A front without decisions, to measure the other against: the same HTTP code, the same checks of offers,
-each viewing to the next streamer in turn, PATCH and DELETE passed on.
+"""A gateway without decisions, as a baseline: the same HTTP code and checks of offers, round-robin streamers.
+
+PATCH and DELETE are forwarded.
 """
 
 import itertools
@@ -19,10 +20,11 @@
 
 
 def main(file: str) -> None:
+    """Serves with the configuration of a file until it is interrupted."""
     site = read_site(Path(file))
     _, addresses = read_list(Path(site.streamers.list).read_bytes(), 0.0)
     pools = {address: ConnectionPool(address, 1.0) for address in addresses.values()}
-    turn, numbers, sessions = itertools.cycle(pools), itertools.count(1), {}
+    round_robin, numbers, sessions = itertools.cycle(pools), itertools.count(1), {}
 
     def handle(request, peer) -> Reply:
         path = request.path
@@ -31,7 +33,7 @@
                 offer = check_offer(request, "whep")
                 if isinstance(offer, Reply):
                     return offer
-                address, target = next(turn), f"/whep/{path[1]}?layer=0"
+                address, target = next(round_robin), f"/whep/{path[1]}?layer=0"
                 call = ClientConnection(address, 1.0)
                 call.send("POST", target, [("Content-Type", SDP)], request.body)
                 reply = call.receive(5.0)
--- a/benchmarks/troubles.py
+++ b/benchmarks/troubles.py
@@ -1,9 +1,9 @@
-"""Drawn bench days in the fleet model at their whole size: are the rules kept, and what is served?
+"""Runs days drawn by the bench in the fleet model at full size; checks the rules and reports the service.
 
     python benchmarks/troubles.py DAY.json [DAY.json ...]
 
-A day that cannot be played is named and counts as a failure. Exit code 1 if a rule broke. All figures are
-simulated, and not the bench's: its own random draws are not taken over.
+A day that cannot be converted fails the run and is named. The exit code is 1 if a rule was broken. The
+figures are simulated and can't be compared with the bench's, whose own random draws are not used.
 """
 
 import json
@@ -18,19 +18,19 @@
 from herongap.rehearsal import from_bench
 
 
-def one(path: str) -> dict:
-    """One day, with seed 1."""
+def run_day(path: str) -> dict:
+    """Runs one day with seed 1 and returns its figures."""
     day = from_bench(json.loads(Path(path).read_text()), full_size=True)
     model, began = Model(day, 1), time.perf_counter()
     outcome = Outcome(day, model.script, 0.0, model.run())
     breaks = check(outcome)
-    told = report(outcome, breaks)
+    figures = report(outcome, breaks)
     return {
         "day": Path(path).stem,
         "size": f"{day.size.controllers}x{day.size.streamers}",
         "troubles": ", ".join(t.kind for t in day.troubles.values()),
-        "viewings": told.viewings,
-        "service": round(told.service, 3),
+        "viewings": figures.viewings,
+        "service": round(figures.service, 3),
         "rules broken": sorted({b.rule for b in breaks}),
         "breaks": len(breaks),
         "first": breaks[0].what if breaks else "",
@@ -42,11 +42,11 @@
     if not paths:
         sys.exit(__doc__)
     with ProcessPoolExecutor(4) as pool:
-        found = []
-        for told in pool.map(one, paths):
-            found.append(told)
-            print(json.dumps(told), flush=True)
-    return 1 if any(told["breaks"] for told in found) else 0
+        results = []
+        for result in pool.map(run_day, paths):
+            results.append(result)
+            print(json.dumps(result), flush=True)
+    return 1 if any(result["breaks"] for result in results) else 0
 
 
 if __name__ == "__main__":
