--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -183,27 +183,30 @@
                     for _ in range(rounds)
                 ]
                 for name, at in (("p50", 0), ("p99", 1)):
-                    ratios = sorted(ours[at] / theirs[at] for ours, theirs in both)
-                    mine, other = (statistics.median(pair[i][at] for pair in both) * 1000 for i in (0, 1))
+                    ratios = sorted(controller[at] / baseline[at] for controller, baseline in both)
+                    controller_ms, baseline_ms = (
+                        statistics.median(pair[i][at] for pair in both) * 1000 for i in (0, 1)
+                    )
                     click.echo(
-                        f"held {count}: join {name} {mine:.2f} ms, pass-through {other:.2f} ms, ratio "
+                        f"held {count}: join {name} {controller_ms:.2f} ms, "
+                        f"pass-through {baseline_ms:.2f} ms, ratio "
                         f"{statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f})"
                     )
                 kb = [statistics.median(pair[i][2] for pair in both) for i in (0, 1)]
                 click.echo(f"held {count}: {kb[0]:.0f} kB a viewing, pass-through {kb[1]:.0f} kB")
             rates = [(capacity(fleet, "herongap"), capacity(fleet, "passthrough")) for _ in range(rounds)]
             ratios = sorted(a / b for a, b in rates)
-            ours = statistics.median(a for a, _ in rates)
-            theirs = statistics.median(b for _, b in rates)
+            controller_rate = statistics.median(a for a, _ in rates)
+            baseline_rate = statistics.median(b for _, b in rates)
             click.echo(
-                f"bears {ours:.0f} viewings a second, pass-through {theirs:.0f}, "
+                f"capacity {controller_rate:.0f} viewings a second, pass-through {baseline_rate:.0f}, "
                 f"ratio {statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f})"
             )
             for setting_up in (100000, 500):
                 shares = []
                 for _ in range(rounds):
                     gateway, port = fleet.start_gateway("herongap", setting_up)
-                    results = load(port, 2 * ours, 6, 0.05, 4)
+                    results = load(port, 2 * controller_rate, 6, 0.05, 4)
                     gateway.kill()
                     gateway.wait()
                     answered = sum(s != 0 and taken <= 1.5 for s, taken in results) / len(results)
@@ -211,7 +214,8 @@
                     shares.append((answered, plays))
                 answered, plays = (statistics.median(s[i] for s in shares) for i in (0, 1))
                 click.echo(
-                    f"at {2 * ours:.0f} a second, {setting_up} set-ups at once: {answered:.2f} answered "
+                    f"at {2 * controller_rate:.0f} a second, {setting_up} set-ups at once: "
+                    f"{answered:.2f} answered "
                     f"within the join target, {plays:.2f} of all play within it"
                 )
         finally:
--- a/herongap/standins/etcd.py
+++ b/herongap/standins/etcd.py
@@ -44,6 +44,7 @@
         self._last_lease = 0
 
     def put(self, key: bytes, value: bytes, lease: int = 0) -> None:
+        """Puts a key, at a new revision."""
         old = self.current.get(key)
         self.revision += 1
         self._record(
@@ -82,8 +83,8 @@
     def compact(self, revision: int | None = None) -> None:
         """Discards the events up to a revision, by default the latest."""
         self.compacted = min(self.revision, revision or self.revision)
-        cut = bisect_right(self.events, self.compacted, key=lambda event: event[0])
-        del self.events[:cut]
+        count = bisect_right(self.events, self.compacted, key=lambda event: event[0])
+        del self.events[:count]
 
     def at(self, revision: int, first: bytes, end: bytes) -> list[tuple[bytes, dict]]:
         """Returns the keys of a range as they were at a revision, sorted."""
@@ -95,7 +96,7 @@
                 for key, versions in self.versions.items()
                 if (i := bisect_right(versions, revision, key=lambda v: v[0]))
             ]
-        return sorted((k, v) for k, v in entries if v and _inside(k, first, end))
+        return sorted((k, v) for k, v in entries if v and _in_range(k, first, end))
 
     def since(self, revision: int, until: int) -> list[tuple[int, bytes, dict | None]]:
         """Returns the events of a range of revisions, both ends included."""
@@ -129,7 +130,7 @@
             self.revoke(lease)
 
 
-def _inside(key: bytes, first: bytes, end: bytes) -> bool:
+def _in_range(key: bytes, first: bytes, end: bytes) -> bool:
     return key == first if not end else key >= first and (end == b"\0" or key < end)
 
 
@@ -150,6 +151,7 @@
 
     @property
     def addresses(self) -> list[str]:
+        """The members' addresses as HOST:PORT."""
         return ["{}:{}".format(*member.address) for member in self.members]
 
     def elect(self, seconds: float) -> None:
@@ -185,6 +187,7 @@
             member.cut()
 
     def close(self) -> None:
+        """Stops all members."""
         self._expiry_greenlet.kill(block=False)
         for member in self.members:
             member.stop()
@@ -194,7 +197,8 @@
     """One member. Its attributes inject faults:
 
     - `lag`: seconds by which it is behind; `frozen_revision`: the revision at which it has stopped
-    - `slow`: seconds before each request is served; `reply_delay`: seconds between serving it and the reply
+    - `request_delay`: seconds before each request is served
+    - `reply_delay`: seconds between serving a request and the reply
     - `event_delay`: seconds before each batch of events
     - `repeats_events`: every event is sent twice
     - `break_after_bytes`: bytes after which a stream breaks
@@ -203,7 +207,7 @@
 
     def __init__(self, etcd: Etcd, number: int):
         self.etcd, self.number = etcd, number
-        self.lag = self.slow = self.event_delay = self.reply_delay = 0.0
+        self.lag = self.request_delay = self.event_delay = self.reply_delay = 0.0
         self.frozen_revision: int | None = None
         self.repeats_events, self.break_after_bytes, self.cluster, self.partitioned = False, 0, 0, False
         self.streams: set[object] = set()
@@ -214,6 +218,7 @@
         self.start()
 
     def start(self) -> None:
+        """Listens, after a stop at the same address as before."""
         for attempt in range(BIND_ATTEMPTS):
             try:
                 self.server = Server(listen(self.address), self.handle, LIMITS)
@@ -263,9 +268,10 @@
     # JSON gateway.
 
     def handle(self, request: Request, peer: Peer) -> Reply:
+        """Handles one request to the JSON gateway."""
         self.requests += 1
-        if self.slow:
-            gevent.sleep(self.slow)
+        if self.request_delay:
+            gevent.sleep(self.request_delay)
         try:
             body = json.loads(request.body or b"{}")
             path = "/".join(request.path)
@@ -338,7 +344,7 @@
 
     def _delete(self, body: dict, user_agent: str) -> Reply:
         first, end = _bytes(body["key"]), _bytes(body.get("range_end", ""))
-        keys = [key for key in self.etcd.history.current if _inside(key, first, end)]
+        keys = [key for key in self.etcd.history.current if _in_range(key, first, end)]
         return self._reply(deleted=str(self.etcd.history.delete(*keys)))
 
     def _txn(self, body: dict, user_agent: str) -> Reply:
@@ -428,7 +434,7 @@
                     gevent.sleep(self.event_delay)
                 events = [
                     e for e in history.since(after, until)
-                    if _inside(e[1], first, end) and ("NOPUT" if e[2] else "NODELETE") not in filters
+                    if _in_range(e[1], first, end) and ("NOPUT" if e[2] else "NODELETE") not in filters
                 ]  # fmt: skip
                 after = until + 1
                 for _ in range(2 if self.repeats_events else 1):
--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -54,10 +54,12 @@
 
     @property
     def faults(self) -> dict[str, dict]:
+        """The active faults by name."""
         return self.machine.faults
 
     @property
     def sessions(self) -> dict[str, Session]:
+        """The sessions by name."""
         return self.machine.sessions
 
     # Process.
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -51,10 +51,12 @@
         self.turn += 1
         number = self.random.getrandbits(52)
         fingerprint = ":".join(f"{self.random.getrandbits(8):02X}" for _ in range(32))
-        self.me = Endpoint(f"v{number:x}", f"{number:x}".rjust(24, "p"), fingerprint, "127.0.0.1", 9, number)
-        self.offer = create_offer(self.me, self.direction)
+        self.local = Endpoint(
+            f"v{number:x}", f"{number:x}".rjust(24, "p"), fingerprint, "127.0.0.1", 9, number
+        )
+        self.offer = create_offer(self.local, self.direction)
         # As herongap.sdp reads it from the offer. It joins the viewer's log to the streamers' logs.
-        self.identity = f"- {number} 1 127.0.0.1 {self.me.ufrag} sha-256 {fingerprint}"
+        self.identity = f"- {number} 1 127.0.0.1 {self.local.ufrag} sha-256 {fingerprint}"
 
     def post(self, patience: float, hang_up: float | None = None) -> AttemptResult:
         """Posts the offer and waits for the answer, or hangs up after `hang_up` seconds."""
@@ -94,7 +96,7 @@
         try:
             while self.clock() < end:
                 with suppress(OSError):
-                    sock.sendto(stun.request(self.remote_ufrag, self.me.ufrag), self.peer)
+                    sock.sendto(stun.request(self.remote_ufrag, self.local.ufrag), self.peer)
                     sock.settimeout(max(0.01, min(1.0, end - self.clock())))
                     sock.recv(2048)
                     last_answer = self.clock()
@@ -112,14 +114,16 @@
 
     def trickle(self, tag: str | None = None) -> Reply:
         """Sends one more ICE candidate."""
-        fragment = Fragment(self.me.ufrag, self.me.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False)
+        fragment = Fragment(
+            self.local.ufrag, self.local.pwd, (("0", "1 1 udp 1 127.0.0.1 9 typ host"),), False
+        )
         return self._patch(fragment, tag or self.tag)
 
     def restart_ice(self) -> Reply:
         """Restarts ICE with a new ufrag, under If-Match: *."""
-        reply = self._patch(Fragment(self.me.ufrag + "r", self.me.pwd, (), False), "*")
+        reply = self._patch(Fragment(self.local.ufrag + "r", self.local.pwd, (), False), "*")
         if reply.status == 200:
-            self.me = self.me._replace(ufrag=self.me.ufrag + "r")
+            self.local = self.local._replace(ufrag=self.local.ufrag + "r")
             self.tag = reply.header("etag")
         return reply
 
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -601,14 +601,14 @@
     with cluster() as etcd:
         watcher = Watcher(etcd, time_out=5.0)
         until(lambda: watcher.ranks and watcher.ranks[-1] == (0, 1))
-        etcd.members[0].slow = 2.6  # longer than the lease: the reply says that it has expired
+        etcd.members[0].request_delay = 2.6  # longer than the lease: the reply says that it has expired
         until(lambda: watcher.ranks[-1][0] is None)
         assert not watcher.feed.membership.holds_number(time.monotonic())
         assert any(b"controllers" in key for key in etcd.history.current), (
             "the controller gives up the number before the server does"
         )
         until(lambda: not any(b"controllers" in key for key in etcd.history.current))
-        etcd.members[0].slow = 0.0
+        etcd.members[0].request_delay = 0.0
         until(lambda: watcher.ranks[-1] == (0, 1))
         watcher.close()
 
