--- a/tests/test_dash_front.py
+++ b/tests/test_dash_front.py
@@ -210,7 +210,7 @@
     player.join()
     streamer = fleet.streamer_of(player.manifest)
     fleet.command("cut", streamer.name, fronts=["herongap-"])
-    streamer.end(next(iter(streamer.sessions.values())), "front-gone", tell=False)
+    streamer.end(next(iter(streamer.sessions.values())), "front-gone", notify=False)
     started = fleet.daemon.clock()
     assert player.play(4.0) and player.moves == 1 and player.rungs
     assert fleet.daemon.clock() - started < 6 and fleet.streamer_of(player.manifest) is not streamer
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -90,7 +90,7 @@
     streamer = next(st for st in fleet.streamers if st.sessions)
     session = next(iter(streamer.sessions.values()))
     fleet.daemon.kill()
-    streamer.end(session, "viewer-gone", tell=False)
+    streamer.end(session, "viewer-gone", notify=False)
     fleet.start()
     fleet.until(lambda: not fleet.daemon.journal.entries)
     assert fleet.daemon.host.counts["adopted"] == 1 and len(fleet.viewings()) == 1
