--- a/benchmarks/troubles.py
+++ b/benchmarks/troubles.py
@@ -27,7 +27,7 @@
     figures = report(outcome, breaks)
     return {
         "day": Path(path).stem,
-        "size": f"{day.size.controllers}x{day.size.streamers}",
+        "size": f"{day.settings.controllers}x{day.settings.streamers}",
         "troubles": ", ".join(t.kind for t in day.troubles.values()),
         "viewings": figures.viewings,
         "service": round(figures.service, 3),
--- a/herongap/daemon/gossip.py
+++ b/herongap/daemon/gossip.py
@@ -28,9 +28,9 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(read_address(part.listen))
         host, port = read_address(part.advertise) if part.advertise else self.sock.getsockname()
-        terms = GossipConfig(probe_interval=part.every, ack_timeout=part.patience)
+        config = GossipConfig(probe_interval=part.every, ack_timeout=part.patience)
         me = MemberRecord(number, incarnation, 0, MemberStatus.ALIVE, host, port, zone)
-        self.protocol = Gossip(clock(), me, part.fleet, terms, seed)
+        self.protocol = Gossip(clock(), me, part.fleet, config, seed)
         self.protocol.set_seeds([read_address(seed) for seed in part.seeds])
         self.reported_members: dict[int, tuple[int, MemberStatus]] = {}
         self.reported_changes = -1  # the membership's change counter when it was last reported
--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -8,7 +8,7 @@
 import math
 
 from herongap.errors import Unusable
-from herongap.fleet.day import Clients, Day, Machines, Share_, Size, Trouble
+from herongap.fleet.day import ClientSettings, Day, DaySettings, PackageSettings, StreamerSettings, Trouble
 
 # Limits of sockets on one machine.
 MAX_STREAMERS = 16
@@ -89,7 +89,7 @@
     # streamer fills each place once.
     filled = utilization * streamers * link / middle_rate
     length = MEAN_VIEWING_WARM_UPS * warm_up if full_size else max(1.0, filled / ARRIVALS_PER_SECOND)
-    size = Size(
+    size = DaySettings(
         seconds=seconds,
         rate=filled / length if full_size else ARRIVALS_PER_SECOND,
         controllers=controllers,
@@ -109,7 +109,7 @@
         extra_window=drawn["budget"]["window"] / MICROSECONDS if drawn.get("budget") else 5.0,
     )
     uplink = sum(fam["uplink_kb"]) / len(fam["uplink_kb"]) * fam["racks"] / len(drawn["servers"])
-    machines = Machines(
+    machines = StreamerSettings(
         link=link,
         rack=uplink * streamers / size.racks,
         places=round(fam["core_slots"] * cores),
@@ -123,7 +123,7 @@
         tell=max(MIN_REPORT_INTERVAL_SECONDS, fam["tell"] / MICROSECONDS),
     )
     packages = {
-        package["name"]: Share_(
+        package["name"]: PackageSettings(
             share=package["share"],
             join_target=package["aim"] / MICROSECONDS,
             patience=package["deadline"] / MICROSECONDS,
@@ -138,7 +138,7 @@
         )
         for package, use in zip(drawn["classes"], fam["uses"], strict=True)
     }
-    clients = Clients(returns=fam["returns"])
+    clients = ClientSettings(returns=fam["returns"])
     return Day(size, clients, machines, packages, dict(_troubles(drawn, streamers, seconds)))
 
 
--- a/herongap/standins/__init__.py
+++ b/herongap/standins/__init__.py
@@ -3,9 +3,9 @@
 No media is sent.
 """
 
-from herongap.fleet.machine import Kind
+from herongap.fleet.machine import MachineProfile
 from herongap.standins.farm import StreamerPool
 from herongap.standins.streamer import Streamer
 from herongap.standins.viewer import AttemptResult, Viewer
 
-__all__ = ["StreamerPool", "Kind", "Streamer", "AttemptResult", "Viewer"]
+__all__ = ["StreamerPool", "MachineProfile", "Streamer", "AttemptResult", "Viewer"]
--- a/herongap/standins/viewer.py
+++ b/herongap/standins/viewer.py
@@ -110,7 +110,7 @@
     def call(self, method: str, headers=(), body: bytes = b"", target: str | None = None) -> Reply:
         """Sends any other request to the controller, by default to the session."""
         target = self.location if target is None else target
-        return request_once(self.front, method, target, [*self.headers, *headers], body, connect=2.0)
+        return request_once(self.front, method, target, [*self.headers, *headers], body, connect_timeout=2.0)
 
     def trickle(self, tag: str | None = None) -> Reply:
         """Sends one more ICE candidate."""
