--- a/herongap/cli/serve.py
+++ b/herongap/cli/serve.py
@@ -111,15 +111,15 @@
     and /dash/TITLE, without credentials. No media is sent: WHEP and WHIP are signalling only, and DASH
     segments contain a thousandth of the usual number of bytes, all of them zero.
     """
-    from herongap.standins import Farm, MachineProfile, Streamer
+    from herongap.standins import MachineProfile, Streamer, StreamerPool
     from herongap.standins.farm import Log
 
     observe.configure_logging(log_level, "console", "-")
     with tempfile.TemporaryDirectory(prefix="herongap-demo-") as name:
         folder = Path(name)
         kind = MachineProfile((150.0, 400.0, 900.0, 1800.0), (0.3, 0.55, 0.8, 1.0), 20000.0, 70000.0, 200)
-        farm = Farm(kind, Log(lambda line: None), seed=1)
-        simulated_streamers = [Streamer(farm, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
+        pool = StreamerPool(kind, Log(lambda line: None), seed=1)
+        simulated_streamers = [Streamer(pool, f"s{i}", "a", f"rack{i % 2}") for i in range(streamers)]
         entries = [
             {
                 "id": streamer.name,
@@ -142,6 +142,6 @@
         except OSError as error:
             raise command_failure(error, "cannot start: ") from error
         for streamer in simulated_streamers:
-            streamer.segments.fronts = [daemon.address]
+            streamer.segments.controllers = [daemon.address]
         run_until_signal(daemon)
-        farm.close()
+        pool.close()
--- a/herongap/rehearsal/datagrams.py
+++ b/herongap/rehearsal/datagrams.py
@@ -1,7 +1,7 @@
-"""A relay for datagrams before each controller: what one says to another is lost, doubled, late, or passed.
+"""A UDP relay in front of each controller, which drops, duplicates or delays gossip datagrams.
 
-Controllers name the relay's address as theirs (`[gossip] advertise`), so that whatever any other says to one
-comes by here. Who says it is read from the datagram itself.
+Controllers advertise the relay's address as their own (`[gossip] advertise`), so every datagram to them
+passes through it. The sender is read from the datagram itself.
 """
 
 from collections import Counter
@@ -14,87 +14,91 @@
 
 from herongap.gossip import InvalidDatagramError, decode
 
-Pair = tuple[int, int]
+MAX_DATAGRAM_BYTES = 65536
 
+Pair = tuple[int, int]  # numbers of the sending and the receiving controller
 
-class Way(NamedTuple):
-    """How datagrams of one pair fare: shares that are lost and doubled; seconds of delay, least and most."""
 
-    lost: float = 0.0
-    doubled: float = 0.0
-    late: tuple[float, float] = (0.0, 0.0)
+class LinkFaults(NamedTuple):
+    """Faults between two controllers: shares lost and duplicated, least and greatest delay in seconds."""
 
+    loss: float = 0.0
+    duplication: float = 0.0
+    delay: tuple[float, float] = (0.0, 0.0)
 
-class Datagrams:
-    """The relays of a fleet of that name. `ways` holds what is not sound, by (from, to); `seen` counts."""
+
+class DatagramRelay:
+    """The relays of one fleet. `faults` are by (sender, receiver); `counts` are of datagrams by outcome."""
 
     def __init__(self, fleet: str, seed: int):
-        self.fleet, self.draw = fleet, Random(seed)
-        self.ways: dict[Pair, Way] = {}
-        self.seen: Counter = Counter()
+        self.fleet, self.random = fleet, Random(seed)
+        self.faults: dict[Pair, LinkFaults] = {}
+        self.counts: Counter = Counter()
         self.sockets: dict[int, socket.socket] = {}
-        self.real: dict[int, tuple[str, int]] = {}
+        self.targets: dict[int, tuple[str, int]] = {}
         self._greenlets: list = []
 
-    def before(self, number: int, real: tuple[str, int]) -> tuple[str, int]:
-        """A relay before the controller that listens at `real`; the address to be advertised."""
+    def add(self, number: int, target: tuple[str, int]) -> tuple[str, int]:
+        """Adds a relay to the controller that listens at `target`; returns the address to advertise."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.1", 0))
-        self.sockets[number], self.real[number] = sock, real
-        self._greenlets.append(gevent.spawn(self._carry, number))
+        self.sockets[number], self.targets[number] = sock, target
+        self._greenlets.append(gevent.spawn(self._relay, number))
         return sock.getsockname()
 
-    def set(self, way: Way, pairs: Iterable[Pair]) -> None:
-        """From now on, these pairs fare so."""
-        self.ways |= dict.fromkeys(pairs, way)
+    def set_faults(self, faults: LinkFaults, pairs: Iterable[Pair]) -> None:
+        """Sets the faults of these pairs from now on."""
+        self.faults |= dict.fromkeys(pairs, faults)
 
     def cut(self, pairs: Iterable[Pair]) -> None:
-        """Nothing gets through from the first to the second of each pair."""
-        self.set(Way(lost=1.0), pairs)
+        """Drops every datagram from the first to the second of each pair."""
+        self.set_faults(LinkFaults(loss=1.0), pairs)
 
-    def sound(self) -> None:
-        """All is well again."""
-        self.ways.clear()
+    def clear_faults(self) -> None:
+        """Removes all faults."""
+        self.faults.clear()
 
-    def apart(self, one: Iterable[int]) -> list[Pair]:
-        """All pairs, both ways, between these controllers and the others."""
-        one = set(one)
-        return [(a, b) for a in self.sockets for b in self.sockets if (a in one) != (b in one)]
+    def pairs_between(self, group: Iterable[int]) -> list[Pair]:
+        """Returns all pairs, in both directions, between these controllers and the others."""
+        group = set(group)
+        return [(a, b) for a in self.sockets for b in self.sockets if (a in group) != (b in group)]
 
     def pairs(self) -> list[Pair]:
+        """Returns all pairs of two different controllers."""
         return [(a, b) for a in self.sockets for b in self.sockets if a != b]
 
-    def _carry(self, number: int) -> None:
+    def _relay(self, number: int) -> None:
         sock = self.sockets[number]
         while True:
             try:
-                data, _ = sock.recvfrom(65536)
+                data, _ = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             try:
-                way = self.ways.get((decode(data, self.fleet).sender, number), Way())
+                faults = self.faults.get((decode(data, self.fleet).sender, number), LinkFaults())
             except InvalidDatagramError:
-                way = Way()  # noise is carried as it is
-            if self.draw.random() < way.lost:
-                self.seen["lost"] += 1
+                faults = LinkFaults()  # an invalid datagram is relayed without faults
+            if self.random.random() < faults.loss:
+                self.counts["lost"] += 1
                 continue
-            times = 1 + (self.draw.random() < way.doubled)
-            self.seen["doubled"] += times - 1
-            for _ in range(times):
-                wait = self.draw.uniform(*way.late)
-                self.seen["late" if wait else "passed"] += 1
-                if wait:
-                    gevent.spawn_later(wait, self._pass, number, data)
+            copies = 1 + (self.random.random() < faults.duplication)
+            self.counts["doubled"] += copies - 1
+            for _ in range(copies):
+                delay = self.random.uniform(*faults.delay)
+                self.counts["late" if delay else "passed"] += 1
+                if delay:
+                    gevent.spawn_later(delay, self._deliver, number, data)
                 else:
-                    self._pass(number, data)
+                    self._deliver(number, data)
 
-    def _pass(self, number: int, data: bytes) -> None:
+    def _deliver(self, number: int, data: bytes) -> None:
         try:
-            self.sockets[number].sendto(data, self.real[number])
+            self.sockets[number].sendto(data, self.targets[number])
         except OSError:
-            self.seen["nobody"] += 1
+            self.counts["unreachable"] += 1
 
     def close(self) -> None:
+        """Stops all relays."""
         for greenlet in self._greenlets:
             greenlet.kill(block=False)
         for sock in self.sockets.values():
--- a/herongap/standins/__init__.py
+++ b/herongap/standins/__init__.py
@@ -1,10 +1,11 @@
-"""Stand-ins on loopback: streamers that speak WHIP and WHEP, scripted viewers and publishers. No media
-flows.
+"""Fakes on loopback: streamers that speak WHIP and WHEP, and scripted viewers and publishers.
+
+No media is sent.
 """
 
 from herongap.fleet.machine import MachineProfile
-from herongap.standins.farm import Farm
+from herongap.standins.farm import StreamerPool
 from herongap.standins.streamer import Streamer
-from herongap.standins.viewer import Tried, Viewer
+from herongap.standins.viewer import AttemptResult, Viewer
 
-__all__ = ["Farm", "MachineProfile", "Streamer", "Tried", "Viewer"]
+__all__ = ["StreamerPool", "MachineProfile", "Streamer", "AttemptResult", "Viewer"]
--- a/herongap/standins/errors.py
+++ b/herongap/standins/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the stand-ins."""
+"""Errors of the fakes."""
 
 from herongap.errors import UnusableInputError
 
@@ -6,4 +6,4 @@
 class BadBase64(UnusableInputError):  # noqa: N818  # the class name is part of the reply  # noqa: N818  # the class name is part of the reply
     """A key or value that is not base64."""
 
-    advice = "nothing; whoever sent it is told"
+    advice = "nothing; the sender gets an error reply"
