--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -9,7 +9,7 @@
 from statistics import mean, stdev
 
 from herongap.accord import BudgetKind, BudgetShare, BudgetTerms
-from herongap.fleet.settling import Net, World
+from herongap.fleet.budget_simulation import BudgetSimulation, NetworkConditions
 
 HELD = BudgetTerms("held", BudgetKind.HELD, 80, floor=1, linger=16.0)
 PARTS = (("steady", 10, 30), ("a crowd moved", 30, 40), ("moved for 10 s", 40, 50), ("half killed", 50, 60))
@@ -30,8 +30,8 @@
         return 0
 
 
-def all_seeing(place: list[World], name: str) -> type:
-    """Lets in whatever the whole still bears; `place` has the world by the time it is asked."""
+def all_seeing(place: list[BudgetSimulation], name: str) -> type:
+    """Lets in whatever the whole still bears; `place` has the simulation by the time it is asked."""
 
     class AllSeeing(Fixed):
         def room(self, now):
@@ -45,20 +45,29 @@
     found, place = [], []
     make = all_seeing(place, "held") if make is None else make
     rate = 0.9 * HELD.limit / 4.0
-    w = World(seed, numbers, (HELD,), Net(0.004), demand=rate / numbers, lasts=4.0, make=make, waits=0.3)
-    place.append(w)
+    simulation = BudgetSimulation(
+        seed,
+        numbers,
+        (HELD,),
+        NetworkConditions(0.004),
+        demand=rate / numbers,
+        mean_hold_seconds=4.0,
+        share_type=make,
+        max_wait_seconds=0.3,
+    )
+    place.append(simulation)
     for _, begin, end in PARTS:
-        w.run(begin)
+        simulation.run(begin)
         if begin == 30:
-            w.demand = dict.fromkeys(w.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
+            simulation.demand = dict.fromkeys(simulation.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
         if begin == 50:
             for n in range(numbers // 2, numbers):
-                w.kill(n)
-            w.demand = dict.fromkeys(w.demand, rate / (numbers // 2))
-        before = w.let_in
-        w.run(end)
-        found.append(w.let_in - before)
-    assert make is not BudgetShare or not w.broken, w.broken[:3]
+                simulation.kill(n)
+            simulation.demand = dict.fromkeys(simulation.demand, rate / (numbers // 2))
+        before = simulation.admitted
+        simulation.run(end)
+        found.append(simulation.admitted - before)
+    assert make is not BudgetShare or not simulation.violations, simulation.violations[:3]
     return found
 
 
@@ -76,22 +85,30 @@
 def cost() -> None:
     for numbers in (8, 50, 100):
         terms = HELD._replace(limit=10 * numbers)
-        w = World(1, numbers, (terms,), Net(0.004), demand=10 * 0.9 / 4.0, lasts=4.0, waits=0.3)
-        w.run(10.0)
+        simulation = BudgetSimulation(
+            1,
+            numbers,
+            (terms,),
+            NetworkConditions(0.004),
+            demand=10 * 0.9 / 4.0,
+            mean_hold_seconds=4.0,
+            max_wait_seconds=0.3,
+        )
+        simulation.run(10.0)
         told = []
         for crowd in (False, True):
             if crowd:
-                w.demand[2] = 0.2 * 10 * numbers / 4.0
-            before = w.store.writes, w.store.refused
-            w.run(w.now + 10.0)
+                simulation.demand[2] = 0.2 * 10 * numbers / 4.0
+            before = simulation.store.writes, simulation.store.conflicts
+            simulation.run(simulation.now + 10.0)
             writes, refused = ((now - was) / 10 for now, was in zip(
-                (w.store.writes, w.store.refused), before, strict=True))  # fmt: skip
+                (simulation.store.writes, simulation.store.conflicts), before, strict=True))  # fmt: skip
             told.append(
                 f"{writes:6.1f} writes {refused:6.1f} lost races {writes * numbers:8.0f} events a second"
             )
-        size = len(w.store.documents["held"][1])
+        size = len(simulation.store.documents["held"][1])
         print(f"{numbers:4} controllers, {size:6} bytes: steady {told[0]}; a crowd {told[1]}")
-        assert not w.broken, w.broken[:3]
+        assert not simulation.violations, simulation.violations[:3]
 
 
 if __name__ == "__main__":
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -27,7 +27,7 @@
 from herongap import observe
 from herongap.daemon.etcd import StreamerRegistry
 from herongap.daemon.run import Daemon
-from herongap.fleet import worlds
+from herongap.fleet import protocol_models
 from herongap.ini import read_site
 from herongap.ini.parts import Etcd as Terms
 from herongap.rehearsal.stage import PREFIX
@@ -291,7 +291,11 @@
 def states(changes: int = 3) -> int:
     """What `minicheck` explores; exit code 1 where a property fails or a mistake is not found."""
     bad = 0
-    for world in (worlds.following(2), worlds.following(changes), worlds.leasing()):
+    for world in (
+        protocol_models.follower_model(2),
+        protocol_models.follower_model(changes),
+        protocol_models.lease_model(),
+    ):
         began = time.monotonic()
         moves = [0]
 
@@ -305,11 +309,11 @@
         bad += not all(holds.values())
         told(world=world.name, states=found["reachable_states"], transitions=moves[0], holds=holds,
              seconds=round(time.monotonic() - began, 1))  # fmt: skip
-    live = check_liveness(worlds.following(2))["holds"]
+    live = check_liveness(protocol_models.follower_model(2))["holds"]
     bad += live is not True
     told(world="following", from_every_state_it_can_catch_up=live)
-    for mistake in worlds.MISTAKES:
-        properties = check_safety(worlds.broken(mistake, 2))["properties"]
+    for mistake in protocol_models.FAULTY_VARIANTS:
+        properties = check_safety(protocol_models.faulty_model(mistake, 2))["properties"]
         ways = {n: p["counterexample"] for n, p in properties.items() if p["holds"] is False}
         bad += not ways
         steps = min(map(len, ways.values()), default=0) - 1
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -13,7 +13,7 @@
 from random import Random
 from statistics import mean, quantiles, stdev
 
-from herongap.fleet.gossiping import Net
+from herongap.fleet.gossip_simulation import GossipSimulation
 from herongap.gossip import GossipConfig, MemberStatus
 
 PLAIN = GossipConfig(max_health=0, max_suspicion_factor=1.0, confirmations=0, detects_pauses=False)
@@ -23,11 +23,11 @@
 class Watch:
     """Counts, at each look, members that run and are newly called gone by another that runs."""
 
-    def __init__(self, net: Net):
-        self.net, self.wrong, self.seen = net, 0, set()
+    def __init__(self, simulation: GossipSimulation):
+        self.simulation, self.wrong, self.seen = simulation, 0, set()
 
     def look(self, stopped: dict[int, float]) -> None:
-        now, members = self.net.clock.now, self.net.members
+        now, members = self.simulation.clock.now, self.simulation.members
         for m in members.values():
             if m.dead or not m.running:
                 continue
@@ -42,26 +42,28 @@
 
 def play(size: int, seed: int, lost: float, terms: GossipConfig) -> tuple[list[float], float, float, float]:
     """Seconds until each that runs knew of each death; wrong words an hour; bytes and datagrams a second."""
-    net, chance, ended = Net(size, seed, terms, lost), Random(seed), {}
-    net.run(30)
-    watch, sent, told = Watch(net), net.total("sent"), net.total("bytes")
+    simulation, chance, ended = GossipSimulation(size, seed, terms, lost), Random(seed), {}
+    simulation.run(30)
+    watch, sent, told = Watch(simulation), simulation.total_count("sent"), simulation.total_count("bytes")
     for number in chance.sample(range(size), max(1, size // 10)):
         for _ in range(2):
             at, lasts = 30 + chance.uniform(0, 45), chance.uniform(0.3, 7)
-            net.clock.at(at, net.members[number].stop, lasts)
+            simulation.clock.at(at, simulation.members[number].pause, lasts)
             ended[number] = max(ended.get(number, 0.0), at + lasts)
-    while net.clock.now < 90:
-        net.run(net.clock.now + 0.2)
+    while simulation.clock.now < 90:
+        simulation.run(simulation.clock.now + 0.2)
         watch.look(ended)
-    rate = [(net.total(name) - was) / 60 / size for name, was in (("sent", sent), ("bytes", told))]
+    rate = [
+        (simulation.total_count(name) - was) / 60 / size for name, was in (("sent", sent), ("bytes", told))
+    ]
     found = []
     for number in chance.sample(range(size), 3):
-        net.kill(number)
-        began, left = net.clock.now, {m.number for m in net.members.values() if not m.dead}
-        while left and net.clock.now < began + 40:
-            net.run(net.clock.now + 0.1)
-            knows = {n for n in left if net.standing(number, n) == MemberStatus.GONE}
-            found += [net.clock.now - began] * len(knows)
+        simulation.kill(number)
+        began, left = simulation.clock.now, {m.number for m in simulation.members.values() if not m.dead}
+        while left and simulation.clock.now < began + 40:
+            simulation.run(simulation.clock.now + 0.1)
+            knows = {n for n in left if simulation.status_at(number, n) == MemberStatus.GONE}
+            found += [simulation.clock.now - began] * len(knows)
             left -= knows
         found += [40.0] * len(left)
     return found, watch.wrong / (size * 60 / 3600), rate[1], rate[0]
--- a/herongap/cli/experiment.py
+++ b/herongap/cli/experiment.py
@@ -26,10 +26,10 @@
 
 def _open(file: Path, store: Path | None):
     from herongap.fleet.arms import read_experiment
-    from herongap.fleet.store import Store
+    from herongap.fleet.result_store import ResultStore
 
     try:
-        return read_experiment(file), Store(store or file.with_suffix(".results"))
+        return read_experiment(file), ResultStore(store or file.with_suffix(".results"))
     except (Faults, ValueError) as fault:
         raise refused(fault) from fault
 
--- a/herongap/etcd/follower.py
+++ b/herongap/etcd/follower.py
@@ -3,7 +3,8 @@
 The follower reads the prefix at one revision and watches from the next one. After any failure it knows what
 to do next: resume the watch at its revision or, where that revision has been compacted, read the prefix
 again. Its content is always the exact content of the prefix at `revision`, and it never goes back to an older
-state. `fleet/worlds.py` checks both properties over all interleavings of a small model, using this class.
+state. `fleet/protocol_models.py` checks both properties over all interleavings of a small model that uses
+this class.
 
 The guarantees of etcd that this relies on (etcd.io, "KV API guarantees"): events arrive in the order of
 their revisions; all events of one revision arrive together unless they are fragmented; no event is missing
--- a/herongap/fleet/sharing.py
+++ b/herongap/fleet/budget_model.py
@@ -52,8 +52,8 @@
     boot: int = 0  # which process of its number it is
 
 
-def _on(who: int, k: Kept, now: float, make: type) -> BudgetShare:
-    s = make(TERMS, str(who), float(TTL))
+def _on(who: int, k: Kept, now: float, share_type: type) -> BudgetShare:
+    s = share_type(TERMS, str(who), float(TTL))
     ledger = s.document
     ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count = k.ledger
     ledger._load(data)
@@ -78,9 +78,9 @@
     return Kept(kept, until, s.incarnation, lives, s.held_count, ghosts, s.promised_amount, absent, boot)
 
 
-def _quick(now: float, store: Store, k: Kept, make: type) -> Kept:
+def _quick(now: float, store: Store, k: Kept, share_type: type) -> Kept:
     """The second controller hears at once what the store has, and looks who is there."""
-    s = _on(1, k, now, make)
+    s = _on(1, k, now, share_type)
     s.update_lease(store.claims[1][0], now + TTL - 0.5, True)
     s.observe(now, store.revision, store.version, store.data)
     s._expired_controllers(
@@ -89,7 +89,9 @@
     return _off(s, store.data, now, k.boot)
 
 
-def sharing(seconds: int = 7, commits: int = 2, kills: int = 1, make: type = BudgetShare) -> Protocol:
+def budget_model(
+    seconds: int = 7, commits: int = 2, kills: int = 1, share_type: type = BudgetShare
+) -> Protocol:
     """The world for so many seconds, with so many commits of each process and so many kills."""
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
@@ -102,7 +104,7 @@
             first = (0, 0) if end <= now + 1 else (life, end)
             there = store._replace(claims=(first, (other, now + 1 + TTL)))
             on = tuple(thing for thing in things if thing[1] > now + 1)
-            left = left[0], _quick(now + 1, there, left[1], make)
+            left = left[0], _quick(now + 1, there, left[1], share_type)
             yield "a second passes", (now + 1, there, left, sky, on, killed)
         for who, k in enumerate(kept):
 
@@ -113,7 +115,7 @@
 
             life, _ = store.claims[who]
             claims = list(store.claims)
-            s = _on(who, k, now, make)
+            s = _on(who, k, now, share_type)
             if who == 1:
                 pass
             elif not life:
@@ -125,15 +127,15 @@
                 claims[who] = (life, now + TTL)
                 s.update_lease(life, now + TTL - 0.5, True)
                 yield f"{who} renews its lease", at(s, store=store._replace(claims=tuple(claims)))
-            s = _on(who, k, now, make)
+            s = _on(who, k, now, share_type)
             if who == 0 and store.revision > k.ledger[0]:
                 s.observe(now, store.revision, store.version, store.data)
                 yield f"{who} reads", at(s, store.data)
-                s = _on(who, k, now, make)
+                s = _on(who, k, now, share_type)
             if s.room(now):
                 s.record_start(now)
                 yield f"{who} begins one", at(s, things=(*things, (who, now + LASTS, k.boot)))
-            s = _on(who, k, now, make)
+            s = _on(who, k, now, share_type)
             if s.document.commit_count < commits or s.document.pending:
                 # What is decided on an older document is never taken: it is read first.
                 s.observe(now, store.revision, store.version, store.data)
@@ -155,12 +157,12 @@
                     new = store.revision + 1
                     there = store._replace(revision=new, version=new, data=f.commit.data)
                 back = f._replace(answer=(there.revision, won, there.version, there.data))
-                heard = kept[0], _quick(now, there, kept[1], make)
+                heard = kept[0], _quick(now, there, kept[1], share_type)
                 on_its_way = rest if f.who else (*rest, back)
                 yield f"the store meets {f.who}", (now, there, heard, on_its_way, things, killed)
                 continue
             for lost in (True, False):
-                s = _on(f.who, kept[f.who], now, make)
+                s = _on(f.who, kept[f.who], now, share_type)
                 if lost:
                     s.handle_unknown_outcome(now, f.commit)
                 else:
--- a/herongap/fleet/rumours.py
+++ b/herongap/fleet/gossip_model.py
@@ -35,7 +35,7 @@
     return book.records[SUBJECT]
 
 
-def rumours(lives: int = 2, raises: int = 2, make: type = MemberTable) -> Protocol:
+def gossip_model(lives: int = 2, raises: int = 2, make: type = MemberTable) -> Protocol:
     """The world with so many lives of the member, which raises its word so often in each."""
     first = MemberRecord(SUBJECT, 1, 0, MemberStatus.ALIVE, "", 1, "")
 
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -91,7 +91,7 @@
         return None
 
     def request_budget(self, whole: str) -> None:
-        """No wholes are divided here; `fleet/settling.py` has those."""
+        """No wholes are divided here; `fleet/budget_simulation.py` has those."""
 
     def wake(self, at: float) -> None:
         self.armed += 1
--- a/herongap/fleet/worlds.py
+++ b/herongap/fleet/protocol_models.py
@@ -102,7 +102,7 @@
     return WatchResponse(header, fragment=kind == "fragment", events=[store.event(rev) for rev in rest])
 
 
-def following(ops: int = 3, make: type = PrefixFollower, repeats: bool = True) -> Protocol:
+def follower_model(ops: int = 3, make: type = PrefixFollower, repeats: bool = True) -> Protocol:
     """The world with at most `ops` changes of the store; `make` is the follower that is checked."""
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
@@ -236,7 +236,7 @@
     return m
 
 
-def leasing(make: type = Membership) -> Protocol:
+def lease_model(make: type = Membership) -> Protocol:
     """Two controllers, of which one may be paused for any time, and requests that take any time."""
 
     def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
@@ -336,7 +336,7 @@
     answer: tuple | None = None
 
 
-def settling(commits: int = 2, make: type = SharedDocument, flights: int = 2) -> Protocol:
+def document_model(commits: int = 2, make: type = SharedDocument, max_in_flight: int = 2) -> Protocol:
     """Two writers of `commits` each; requests and answers are lost, late and doubled at will."""
 
     def on(who: int, state: tuple) -> SharedDocument:
@@ -372,14 +372,14 @@
             told = ledger.observe(shelf.version, shelf.version, shelf.data)
             yield f"{who} reads", put(ledger, sky, told, shelf.data)
             ledger = on(who, kept)
-            if ledger.pending is None and ledger.commit_count < commits and mine < flights:
+            if ledger.pending is None and ledger.commit_count < commits and mine < max_in_flight:
                 commit = ledger.propose(sum(shelf.taken))
                 if commit:
                     yield f"{who} commits", put(ledger, (*sky, Flight(who, commit)))
             elif ledger.pending is not None and not ledger.uncertain:
                 ledger.handle_unknown_outcome()
                 yield f"{who} hears nothing", put(ledger, sky)
-            elif (commit := ledger.commit_to_resend()) and mine < flights:
+            elif (commit := ledger.commit_to_resend()) and mine < max_in_flight:
                 yield f"{who} sends it again", put(ledger, (*sky, Flight(who, commit)))
         for i, f in enumerate(sky):
             rest = sky[:i] + sky[i + 1 :]
@@ -494,11 +494,11 @@
         return told
 
 
-MISTAKES = (Skips, Trusts, GoesOn, Halves, TrustsLate, Stretches, GivesUp, Reads)
+FAULTY_VARIANTS = (Skips, Trusts, GoesOn, Halves, TrustsLate, Stretches, GivesUp, Reads)
 
 
-def broken(mistake: type, ops: int = 3) -> Protocol:
+def faulty_model(mistake: type, ops: int = 3) -> Protocol:
     """The world of a machine with that mistake."""
     if issubclass(mistake, SharedDocument):
-        return settling(ops, mistake)
-    return leasing(mistake) if issubclass(mistake, Membership) else following(ops, mistake)
+        return document_model(ops, mistake)
+    return lease_model(mistake) if issubclass(mistake, Membership) else follower_model(ops, mistake)
--- a/herongap/fleet/store.py
+++ b/herongap/fleet/result_store.py
@@ -10,13 +10,13 @@
 VERSION = b"herongap-experiment 1"
 
 
-class NoStore(Unusable):
+class ResultStoreError(Unusable):
     """A file that is no store of results of this version."""
 
     advice = "name another file, or remove it: results are then made anew"
 
 
-class Store:
+class ResultStore:
     """One result for each arm and seed, in an lmdb file; each is written in a transaction of its own."""
 
     def __init__(self, path: Path):
@@ -29,7 +29,7 @@
             if found is None and txn.stat()["entries"] == 0:
                 txn.put(b"version", VERSION)
             elif found != VERSION:
-                raise NoStore(f"{path} is no store of {VERSION.decode()}")
+                raise ResultStoreError(f"{path} is no store of {VERSION.decode()}")
 
     def get(self, digest: str, seed: int) -> dict | None:
         with self.env.begin() as txn:
--- a/herongap/fleet/runner.py
+++ b/herongap/fleet/runner.py
@@ -7,13 +7,16 @@
 
 from herongap.fleet.arms import Arm, Experiment, job
 from herongap.fleet.compare import wanted
-from herongap.fleet.store import Store
+from herongap.fleet.result_store import ResultStore
 
 TRIES = 5  # times that the workers may die before the experiment does
 
 
 def run(
-    experiment: Experiment, store: Store, workers: int, progress: Callable[[int, int], None] | None = None
+    experiment: Experiment,
+    store: ResultStore,
+    workers: int,
+    progress: Callable[[int, int], None] | None = None,
 ) -> dict[str, list[dict]]:
     """All results by arm, in the order of seeds. The same for any number of workers, and after any kill.
 
@@ -31,7 +34,7 @@
     return results
 
 
-def _fill(arms: tuple[Arm, ...], seeds: range, store: Store, workers: int, progress) -> None:
+def _fill(arms: tuple[Arm, ...], seeds: range, store: ResultStore, workers: int, progress) -> None:
     """Have a result in the store for every arm and seed."""
     digests = {arm.name: arm.digest() for arm in arms}
     every = [(arm, seed) for seed in seeds for arm in arms]
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -19,13 +19,13 @@
 from herongap.accord import shares as budget_shares
 from herongap.accord.document import encode_document
 from herongap.accord.shares import fair_shares, parse_allocation, read_allocation
-from herongap.fleet import worlds
-from herongap.fleet.settling import Net, World
-from herongap.fleet.sharing import sharing
+from herongap.fleet import protocol_models
+from herongap.fleet.budget_model import budget_model
+from herongap.fleet.budget_simulation import BudgetSimulation, NetworkConditions
 
 HELD = BudgetTerms("held", BudgetKind.HELD, 40, floor=1, linger=8.0)
 RATE = BudgetTerms("rate", BudgetKind.RATE, 60, floor=1, window=5.0)
-ROUGH = Net(0.004, 0.02, 0.05, 0.02)
+ROUGH = NetworkConditions(0.004, 0.02, 0.05, 0.02)
 
 
 # The shared document.
@@ -66,7 +66,7 @@
 
 
 def test_all_interleavings_resolve_an_unknown_outcome_correctly():
-    found = check_safety(worlds.settling(flights=1))
+    found = check_safety(protocol_models.document_model(max_in_flight=1))
     assert found["exhaustive"] and found["reachable_states"] > 100000
     assert all(p["holds"] is True for p in found["properties"].values()), found
 
@@ -264,75 +264,96 @@
 
     seed: int
     make: type = BudgetShare
-    kinds: tuple = ("pause", "pause", "kill", "start", "away", "demand", "leave", "lower", "deaf", "deaf")
+    kinds: tuple = (
+        "pause",
+        "pause",
+        "kill",
+        "start",
+        "store unavailable",
+        "demand",
+        "shut down",
+        "change limit",
+        "drop incoming",
+        "drop incoming",
+    )
     controllers: int = 8
     max_gap: float = 3.0  # seconds between two faults
-    world: World = field(init=False)
-
-    def play(self, faults: int = 25) -> World:
-        world = self.world = World(
-            self.seed, self.controllers, (HELD, RATE), ROUGH, demand=2.0, lasts=4.0, make=self.make
+    simulation: BudgetSimulation = field(init=False)
+
+    def play(self, faults: int = 25) -> BudgetSimulation:
+        simulation = self.simulation = BudgetSimulation(
+            self.seed,
+            self.controllers,
+            (HELD, RATE),
+            ROUGH,
+            demand=2.0,
+            mean_hold_seconds=4.0,
+            share_type=self.make,
         )
-        random = world.random
-        world.run(5.0)
+        random = simulation.random
+        simulation.run(5.0)
         for _ in range(faults):
-            world.run(world.now + random.uniform(0.1, 1.0) * self.max_gap)
+            simulation.run(simulation.now + random.uniform(0.1, 1.0) * self.max_gap)
             number = random.randrange(self.controllers)
             match random.choice(self.kinds):
                 case "pause":
-                    world.pause(number, random.choice([0.3, 1.5, 4.0, 8.0, 20.0]))
+                    simulation.pause(number, random.choice([0.3, 1.5, 4.0, 8.0, 20.0]))
                 case "kill":
-                    world.kill(number)
-                case "start" if number not in world.processes:
-                    world.start(number)
-                case "deaf":
-                    world.deafen(number, random.choice([1.0, 3.0, 6.0]))
-                case "leave":
-                    world.leave(number)
-                case "away":
-                    world.store.away = True
-                    world.after(random.choice([0.5, 3.0, 8.0]), setattr, world.store, "away", False)
+                    simulation.kill(number)
+                case "start" if number not in simulation.processes:
+                    simulation.start(number)
+                case "drop incoming":
+                    simulation.drop_incoming(number, random.choice([1.0, 3.0, 6.0]))
+                case "shut down":
+                    simulation.shut_down(number)
+                case "store unavailable":
+                    simulation.store.unavailable = True
+                    simulation.after(
+                        random.choice([0.5, 3.0, 8.0]), setattr, simulation.store, "unavailable", False
+                    )
                 case "demand":
-                    world.demand[number] = random.choice([0, 1, 10, 20])
-                case "lower":
-                    world.lower("held", random.choice([10, 40, 60]))
-                case "keep":
-                    world.store.keep()
-                case "back":
-                    world.set_back()
-        world.run(world.now + 10.0)
-        return world
+                    simulation.demand[number] = random.choice([0, 1, 10, 20])
+                case "change limit":
+                    simulation.change_limit("held", random.choice([10, 40, 60]))
+                case "back up":
+                    simulation.store.take_backup()
+                case "restore":
+                    simulation.restore_store()
+        simulation.run(simulation.now + 10.0)
+        return simulation
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_usage_stays_within_the_limit_under_faults(seed):
-    world = FaultScenario(seed).play()
-    assert not world.broken and world.let_in > 100 and world.unknown > 20
+    simulation = FaultScenario(seed).play()
+    assert not simulation.violations and simulation.admitted > 100 and simulation.unknown_outcomes > 20
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_usage_stays_within_the_limit_when_the_store_is_restored_from_a_copy(seed):
-    world = FaultScenario(seed, kinds=("pause", "kill", "start", "demand", "keep", "back", "deaf")).play()
-    assert not world.broken and world.backs > 0
+    simulation = FaultScenario(
+        seed, kinds=("pause", "kill", "start", "demand", "back up", "restore", "drop incoming")
+    ).play()
+    assert not simulation.violations and simulation.restore_count > 0
 
 
 def test_allotments_follow_demand_that_moves_to_another_controller():
-    world = World(1, 8, (HELD,), demand=1.0, lasts=2.0)
-    world.run(10.0)
-    world.demand = dict.fromkeys(world.demand, 0.2) | {3: 40.0}
-    world.run(14.0)
-    allotments = world.division("held").allotments
-    assert allotments["3"].amount >= 28 and len(world.held["held"]) >= 28 and not world.broken
+    simulation = BudgetSimulation(1, 8, (HELD,), demand=1.0, mean_hold_seconds=2.0)
+    simulation.run(10.0)
+    simulation.demand = dict.fromkeys(simulation.demand, 0.2) | {3: 40.0}
+    simulation.run(14.0)
+    allotments = simulation.allocation("held").allotments
+    assert allotments["3"].amount >= 28 and len(simulation.held["held"]) >= 28 and not simulation.violations
 
 
 def test_twelve_controllers_share_and_use_a_limit_of_three():
-    world = World(2, 12, (HELD._replace(limit=3, floor=0),), demand=2.0)
-    world.run(20.0)
+    simulation = BudgetSimulation(2, 12, (HELD._replace(limit=3, floor=0),), demand=2.0)
+    simulation.run(20.0)
     used = []
     for _ in range(100):
-        world.run(world.now + 0.1)
-        used.append(len(world.held["held"]))
-    assert not world.broken and max(used) == 3 and sum(used) / len(used) > 2.0
+        simulation.run(simulation.now + 0.1)
+        used.append(len(simulation.held["held"]))
+    assert not simulation.violations and max(used) == 3 and sum(used) / len(used) > 2.0
 
 
 class ReassignsImmediately(BudgetShare):
@@ -425,12 +446,12 @@
     ],
 )
 def test_faulty_variant_breaks_the_limit_where_the_real_protocol_does_not(variant, scenario, seeds):
-    assert any(FaultScenario(seed, variant, *scenario).play(100).broken for seed in seeds)
-    assert not any(FaultScenario(seed, BudgetShare, *scenario).play(100).broken for seed in seeds)
+    assert any(FaultScenario(seed, variant, *scenario).play(100).violations for seed in seeds)
+    assert not any(FaultScenario(seed, BudgetShare, *scenario).play(100).violations for seed in seeds)
 
 
 def test_all_interleavings_of_a_small_model_keep_the_limit():
-    found = check_safety(sharing(5, 1, 0))
+    found = check_safety(budget_model(5, 1, 0))
     assert found["exhaustive"] and found["reachable_states"] > 10000
     assert all(p["holds"] is True for p in found["properties"].values()), found
 
@@ -446,7 +467,7 @@
     ],
 )
 def test_model_checker_finds_a_short_counterexample_for_each_faulty_variant(variant, model, max_states):
-    found = check_safety(sharing(*model, make=variant), max_states=max_states)
+    found = check_safety(budget_model(*model, share_type=variant), max_states=max_states)
     counterexamples = [p["counterexample"] for p in found["properties"].values() if p["holds"] is False]
     assert counterexamples and len(min(counterexamples, key=len)) <= 12
 
@@ -455,19 +476,21 @@
     ("share_type", "within_limit"), [(BudgetShare, True), (TreatsUnknownAsFailed, False)]
 )
 def test_returned_amount_is_not_used_while_no_reply_arrives(share_type, within_limit):
-    world = World(1, 3, (HELD,), demand=2.0, lasts=4.0, make=share_type)
-    world.demand[0] = 20.0
-    world.run(10.0)
-    world.demand[0] = 1.0
-    world.run(16.0)
-    world.demand |= {1: 30.0, 2: 30.0}
-    share = world.processes[0].shares["held"]
+    simulation = BudgetSimulation(1, 3, (HELD,), demand=2.0, mean_hold_seconds=4.0, share_type=share_type)
+    simulation.demand[0] = 20.0
+    simulation.run(10.0)
+    simulation.demand[0] = 1.0
+    simulation.run(16.0)
+    simulation.demand |= {1: 30.0, 2: 30.0}
+    share = simulation.processes[0].shares["held"]
     while share.promised_amount is None or share.promised_amount >= share._allotment().amount:
-        world.run(world.now + 0.001)
-    world.deafen(0, 5.0)  # the commit that returns an amount is in flight, and its reply will be lost
-    world.demand[0] = 30.0
-    world.run(world.now + 4.0)
-    assert world.unknown > 0 and bool(world.broken) is not within_limit
+        simulation.run(simulation.now + 0.001)
+    simulation.drop_incoming(
+        0, 5.0
+    )  # the commit that returns an amount is in flight, and its reply will be lost
+    simulation.demand[0] = 30.0
+    simulation.run(simulation.now + 4.0)
+    assert simulation.unknown_outcomes > 0 and bool(simulation.violations) is not within_limit
 
 
 def test_grace_period_allows_for_clock_drift():
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -33,7 +33,7 @@
 )
 from herongap.etcd import messages as messages
 from herongap.etcd.keys import InvalidValueError, decode_value, split_key, update_value
-from herongap.fleet import worlds
+from herongap.fleet import protocol_models
 from herongap.fleet.checker import check
 from herongap.fleet.day import read_day, script
 from herongap.fleet.figures import Outcome
@@ -277,7 +277,7 @@
 
 
 def test_follower_is_exact_and_never_goes_back_in_every_interleaving():
-    world = worlds.following(2)
+    world = protocol_models.follower_model(2)
     found = check_safety(world)
     assert found["exhaustive"] and found["reachable_states"] > 10000
     assert all(p["holds"] is True for p in found["properties"].values()), found
@@ -285,14 +285,14 @@
 
 
 def test_two_controllers_never_hold_one_number_at_once():
-    found = check_safety(worlds.leasing())
+    found = check_safety(protocol_models.lease_model())
     assert found["exhaustive"] and found["reachable_states"] > 10000
     assert all(p["holds"] is True for p in found["properties"].values()), found
 
 
-@pytest.mark.parametrize("mistake", worlds.MISTAKES)
+@pytest.mark.parametrize("mistake", protocol_models.FAULTY_VARIANTS)
 def test_model_checker_finds_each_seeded_mistake(mistake):
-    found = check_safety(worlds.broken(mistake, 2))["properties"]
+    found = check_safety(protocol_models.faulty_model(mistake, 2))["properties"]
     ways = [p["counterexample"] for p in found.values() if p["holds"] is False]
     assert ways and all(len(way) > 2 for way in ways)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 from herongap.fleet.links import equal, max_min
 from herongap.fleet.machine import Kind, Machine, Rack, Session
 from herongap.fleet.model import Model, Viewer
-from herongap.fleet.store import Store
+from herongap.fleet.result_store import ResultStore
 from herongap.host import Recorder
 from herongap.ini import Faults, parse_site
 
@@ -183,7 +183,7 @@
 
 def test_results_are_the_same_for_one_worker_and_for_more_and_after_a_killed_worker(tmp_path):
     made = experiment(tmp_path, least=4, half=0.5)
-    one, more = Store(tmp_path / "1"), Store(tmp_path / "2")
+    one, more = ResultStore(tmp_path / "1"), ResultStore(tmp_path / "2")
     alone = runner.run(made, one, 1)
     killed = []
 
@@ -256,16 +256,16 @@
     made = experiment(tmp_path)
     a, b = made.arms
     assert a.digest() != b.digest() and a.digest() == a._replace(name="z").digest()
-    store = Store(tmp_path / "s")
+    store = ResultStore(tmp_path / "s")
     store.put(a.digest(), 1, {"service": 0.5})
     store.close()
-    store = Store(tmp_path / "s")
+    store = ResultStore(tmp_path / "s")
     assert store.get(a.digest(), 1) == {"service": 0.5} and store.get(b.digest(), 1) is None
     with store.env.begin(write=True) as txn:
         txn.put(b"version", b"another")
     store.close()
     with pytest.raises(ValueError, match="no store"):
-        Store(tmp_path / "s")
+        ResultStore(tmp_path / "s")
 
 
 def test_a_fit_finds_what_a_record_was_made_of(tmp_path, bad):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -9,8 +9,8 @@
 from minicheck import check_safety
 
 from herongap.errors import Misuse
-from herongap.fleet.gossiping import Net
-from herongap.fleet.rumours import rumours
+from herongap.fleet.gossip_model import gossip_model
+from herongap.fleet.gossip_simulation import GossipSimulation
 from herongap.gossip import (
     Datagram,
     Gossip,
@@ -115,97 +115,121 @@
         Gossip(0.0, changed(ME, status=MemberStatus.GONE), "f", GossipConfig(), 1)
 
 
-def running_net(size, seed=1, warm_up=12.0, **options):
-    net = Net(size, seed, **options)
-    net.run(warm_up)
-    return net
+def running_simulation(size, seed=1, warm_up=12.0, **options):
+    simulation = GossipSimulation(size, seed, **options)
+    simulation.run(warm_up)
+    return simulation
 
 
-@pytest.mark.parametrize("lost", [0.0, 0.05, 0.2])
-def test_all_detect_a_dead_member_and_declare_no_live_one_gone(lost):
+@pytest.mark.parametrize("loss_rate", [0.0, 0.05, 0.2])
+def test_all_detect_a_dead_member_and_declare_no_live_one_gone(loss_rate):
     for seed in (1, 2):
-        net = running_net(30, seed, warm_up=25.0, lost=lost)
-        assert all(len(m.gossip.members.records) == 30 for m in net.members.values())
-        net.kill(3)
-        assert net.until(lambda net=net: net.agree(3, MemberStatus.GONE), 20) < 8
-        net.run(net.clock.now + 40)
-        alive = [x for x in net.members if x != 3]
+        simulation = running_simulation(30, seed, warm_up=25.0, loss_rate=loss_rate)
+        assert all(len(m.gossip.members.records) == 30 for m in simulation.members.values())
+        simulation.kill(3)
+        assert (
+            simulation.run_until(lambda simulation=simulation: simulation.all_see(3, MemberStatus.GONE), 20)
+            < 8
+        )
+        simulation.run(simulation.clock.now + 40)
+        alive = [x for x in simulation.members if x != 3]
         assert all(
-            net.agree(x, MemberStatus.ALIVE) or net.agree(x, MemberStatus.SUSPECT) or lost for x in alive
+            simulation.all_see(x, MemberStatus.ALIVE)
+            or simulation.all_see(x, MemberStatus.SUSPECT)
+            or loss_rate
+            for x in alive
         )
-        assert all(net.standing(x, at) < MemberStatus.GONE for x in alive for at in alive)
-        if lost:
-            assert net.total("suspected") > 1 and net.total("refuted") > 0
+        assert all(simulation.status_at(x, at) < MemberStatus.GONE for x in alive for at in alive)
+        if loss_rate:
+            assert simulation.total_count("suspected") > 1 and simulation.total_count("refuted") > 0
 
 
 def test_one_way_link_causes_neither_death_nor_flapping():
-    net = running_net(9)
-    net.cut = lambda a, b: (a, b) == (1, 2)
-    net.run(60)
-    assert all(net.agree(x, MemberStatus.ALIVE) for x in range(9))
-    assert net.members[2].gossip.unheard(60.0) == [1] and net.members[1].gossip.unheard_by(60.0) == [2]
-    refutations = [m.gossip.members.own.refutations for m in net.members.values()]
+    simulation = running_simulation(9)
+    simulation.is_blocked = lambda a, b: (a, b) == (1, 2)
+    simulation.run(60)
+    assert all(simulation.all_see(x, MemberStatus.ALIVE) for x in range(9))
+    assert simulation.members[2].gossip.unheard(60.0) == [1] and simulation.members[1].gossip.unheard_by(
+        60.0
+    ) == [2]
+    refutations = [m.gossip.members.own.refutations for m in simulation.members.values()]
     assert max(refutations) <= 2, "a one-way link must not cause repeated suspicions"
 
 
 def test_member_that_nobody_hears_is_gone_and_declares_nobody_gone():
-    net = running_net(9)
-    net.cut = lambda a, b: a == 4
-    net.until(lambda: net.agree(4, MemberStatus.GONE), 20)
-    net.run(net.clock.now + 20)
+    simulation = running_simulation(9)
+    simulation.is_blocked = lambda a, b: a == 4
+    simulation.run_until(lambda: simulation.all_see(4, MemberStatus.GONE), 20)
+    simulation.run(simulation.clock.now + 20)
     assert (
-        net.agree(4, MemberStatus.GONE) and sum(net.agree(x, MemberStatus.ALIVE, (4,)) for x in range(9)) == 8
+        simulation.all_see(4, MemberStatus.GONE)
+        and sum(simulation.all_see(x, MemberStatus.ALIVE, (4,)) for x in range(9)) == 8
+    )
+    simulation.is_blocked = lambda a, b: False
+    assert simulation.run_until(lambda: simulation.all_see(4, MemberStatus.ALIVE), 30) < 30, (
+        "heard again, it has refuted"
     )
-    net.cut = lambda a, b: False
-    assert net.until(lambda: net.agree(4, MemberStatus.ALIVE), 30) < 30, "heard again, it has refuted"
 
 
 @pytest.mark.parametrize("detects_pauses", [True, False])
 def test_suspended_member_declares_nobody_gone_before_catching_up(detects_pauses):
     declared_gone = 0
     for seed in range(12):
-        net = running_net(12, seed, terms=GossipConfig(detects_pauses=detects_pauses))
-        net.cut = lambda a, b: b == 5  # it begins to suspect the others
-        net.run(net.clock.now + 1.2)
-        net.members[5].stop(7.0)
-        net.cut = lambda a, b: False
-        net.run(net.clock.now + 20)
-        declared_gone += net.members[5].gossip.counts["gone"]
-        assert net.until(lambda net=net: all(net.agree(x, MemberStatus.ALIVE) for x in range(12)), 30) < 30
+        simulation = running_simulation(12, seed, config=GossipConfig(detects_pauses=detects_pauses))
+        simulation.is_blocked = lambda a, b: b == 5  # it begins to suspect the others
+        simulation.run(simulation.clock.now + 1.2)
+        simulation.members[5].pause(7.0)
+        simulation.is_blocked = lambda a, b: False
+        simulation.run(simulation.clock.now + 20)
+        declared_gone += simulation.members[5].gossip.counts["gone"]
+        assert (
+            simulation.run_until(
+                lambda simulation=simulation: all(
+                    simulation.all_see(x, MemberStatus.ALIVE) for x in range(12)
+                ),
+                30,
+            )
+            < 30
+        )
     assert declared_gone == 0 if detects_pauses else declared_gone > 3
 
 
 def test_restart_within_a_round_is_a_new_incarnation_everywhere():
-    net = running_net(9)
-    net.kill(2)
-    net.run(net.clock.now + 0.2)
-    net.start(2, 7)
-    tables = [m.gossip.members for number, m in net.members.items() if number != 2]
-    assert net.until(lambda: all(table.records[2].incarnation == 7 for table in tables), 15) < 10
-    net.run(net.clock.now + 20)
-    assert net.agree(2, MemberStatus.ALIVE) and all(table.records[2].incarnation == 7 for table in tables)
+    simulation = running_simulation(9)
+    simulation.kill(2)
+    simulation.run(simulation.clock.now + 0.2)
+    simulation.start(2, 7)
+    tables = [m.gossip.members for number, m in simulation.members.items() if number != 2]
+    assert simulation.run_until(lambda: all(table.records[2].incarnation == 7 for table in tables), 15) < 10
+    simulation.run(simulation.clock.now + 20)
+    assert simulation.all_see(2, MemberStatus.ALIVE) and all(
+        table.records[2].incarnation == 7 for table in tables
+    )
 
 
 def test_member_joins_through_any_seed_and_partitions_heal():
-    net = running_net(12, warm_up=0.0)
-    net.cut = lambda a, b: (a < 6) != (b < 6)
-    net.run(30)
-    assert net.standing(8, 1) in (None, MemberStatus.GONE)
-    net.cut = lambda a, b: False
-    assert net.until(lambda: all(net.agree(x, MemberStatus.ALIVE) for x in range(12)), 90) < 90
-    late = net.start(40, 1)
+    simulation = running_simulation(12, warm_up=0.0)
+    simulation.is_blocked = lambda a, b: (a < 6) != (b < 6)
+    simulation.run(30)
+    assert simulation.status_at(8, 1) in (None, MemberStatus.GONE)
+    simulation.is_blocked = lambda a, b: False
+    assert (
+        simulation.run_until(lambda: all(simulation.all_see(x, MemberStatus.ALIVE) for x in range(12)), 90)
+        < 90
+    )
+    late = simulation.start(40, 1)
     late.gossip.set_seeds([("10.0.0.1", 10007)])
-    assert net.until(lambda: net.agree(40, MemberStatus.ALIVE), 30) < 30
+    assert simulation.run_until(lambda: simulation.all_see(40, MemberStatus.ALIVE), 30) < 30
 
 
 def test_member_that_leaves_is_never_suspected():
-    net = running_net(9)
-    leaver = net.members[4]
-    net.carry(leaver, leaver.gossip.leave(net.clock.now))
-    net.run(net.clock.now + 0.5)
-    net.kill(4)
-    net.run(net.clock.now + 15)
-    assert net.agree(4, MemberStatus.LEFT) and net.total("gone") == 0
+    simulation = running_simulation(9)
+    leaver = simulation.members[4]
+    simulation.send(leaver, leaver.gossip.leave(simulation.clock.now))
+    simulation.run(simulation.clock.now + 0.5)
+    simulation.kill(4)
+    simulation.run(simulation.clock.now + 15)
+    assert simulation.all_see(4, MemberStatus.LEFT) and simulation.total_count("gone") == 0
 
 
 def test_controller_count_is_the_larger_one_unless_the_store_ranks_us():
@@ -263,7 +287,7 @@
 
 def test_all_interleavings_of_two_incarnations_keep_the_invariants():
     for model in ((2, 1), (2, 2), (3, 1)):
-        found = check_safety(rumours(*model))
+        found = check_safety(gossip_model(*model))
         assert found["exhaustive"] and found["reachable_states"] > 1000
         assert all(p["holds"] is True for p in found["properties"].values()), found
 
@@ -273,6 +297,6 @@
     [(LastRecordWins, 4), (LateRecordRevives, 5), (RefutesAnyIncarnation, 6), (RefutesForOthers, 4)],
 )
 def test_model_checker_finds_a_short_counterexample_for_each_faulty_variant(variant, max_length):
-    found = check_safety(rumours(2, 2, variant), max_states=8000)
+    found = check_safety(gossip_model(2, 2, variant), max_states=8000)
     counterexamples = [p["counterexample"] for p in found["properties"].values() if p["holds"] is False]
     assert counterexamples and len(min(counterexamples, key=len)) <= max_length, found
