--- a/herongap/fleet/budget_model.py
+++ b/herongap/fleet/budget_model.py
@@ -1,10 +1,10 @@
-"""A small world in which the shipped `BudgetShare` are checked over all interleavings, with minicheck.
+"""A small model in which minicheck checks the shipped `BudgetShare` over all interleavings.
 
-Two controllers, one whole of one, one store. The second is always there and quick; of the first each step may
-come late or never (it is stopped), its answers are lost, and it may be killed and come back; time goes on in
-steps of one second all the same. What is begun plays for `LASTS`. What moves are
-`herongap.accord.BudgetShare` themselves: each step makes them from their state, calls them, and
-takes the state off again.
+Two controllers share a budget of one through one store. Controller 1 is always running and reacts at once.
+Controller 0 may be paused, so each of its steps may come late or never; its replies may be lost, and it may
+be killed and restarted. Time advances in steps of one second independently of it. An item that was started
+lasts `LINGER_SECONDS`. The transitions run `herongap.accord.BudgetShare` itself: each one restores it from
+the model's state, calls it, and saves its state again.
 """
 
 from collections.abc import Iterator
@@ -16,13 +16,15 @@
 from herongap.accord.document import encode_document
 from herongap.accord.shares import read_allocation
 
-TTL, LASTS = 2, 2
-TERMS = BudgetTerms("one", BudgetKind.HELD, 1, linger=LASTS)
-START = encode_document(Allocation(1, True, 1, {"0": Allotment(1, 1, 1, 1)}).to_body())
+TTL_SECONDS, LINGER_SECONDS = 2, 2
+TRUST_MARGIN_SECONDS = 0.5  # a controller trusts its lease for this much less than the store keeps it
+LONG_PAST = -9.0  # stands for every time that has passed, so that equal situations are one state
+TERMS = BudgetTerms("one", BudgetKind.HELD, 1, linger=LINGER_SECONDS)
+INITIAL_DATA = encode_document(Allocation(1, True, 1, {"0": Allotment(1, 1, 1, 1)}).to_body())
 
 
-class Store(NamedTuple):
-    """The document and, for each controller, its claim (0: none) and when the lease ends."""
+class StoreState(NamedTuple):
+    """The document and, for each controller, its claim (0: none) and when its lease expires."""
 
     revision: int
     version: int
@@ -30,165 +32,218 @@
     claims: tuple[tuple[int, int], ...]
 
 
-class Flight(NamedTuple):
-    """A commit on its way, and with an answer (revision, won, version, data) on its way back."""
+class CommitInFlight(NamedTuple):
+    """A commit on its way to the store or, with a reply (revision, won, version, data), on its way back."""
 
-    who: int
+    controller: int
     commit: Commit
-    answer: tuple | None = None
-
-
-class Kept(NamedTuple):
-    """One controller's shares, taken off."""
-
-    ledger: tuple = (-1, 0, None, None, False, 0)
-    until: float = -9.0
-    claimed: int = -1
-    lives: tuple = ()
-    used: int = 0
-    ghosts: tuple = (0, -9.0)
-    promised: int | None = None
-    absent: tuple = ()
-    boot: int = 0  # which process of its number it is
-
-
-def _on(who: int, k: Kept, now: float, share_type: type) -> BudgetShare:
-    s = share_type(TERMS, str(who), float(TTL))
-    ledger = s.document
-    ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count = k.ledger
-    ledger._load(data)
-    s._apply(now, None)
-    s.lease_until, s.incarnation, ledger.incarnation = k.until, k.claimed, max(0, k.claimed)
-    s.incarnations, s.held_count, s.inherited, s.promised_amount = set(k.lives), k.used, k.ghosts, k.promised
-    s.absent_since = dict(k.absent)
-    if not s.room(now):
-        s.rejections.append(now)  # there is always somebody who wants one more
-    s.due = now
-    return s
-
-
-def _off(s: BudgetShare, data: bytes | None, now: float, boot: int) -> Kept:
-    ledger = s.document
-    kept = ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count
-    ghosts = s.inherited if s.inherited[1] > now else (0, -9.0)
-    absent = tuple(sorted(s.absent_since.items()))
-    lives = tuple(sorted(s.incarnations))
-    # A lease that is over is over, whenever it was.
-    until = s.lease_until if s.lease_until > now else -9.0
-    return Kept(kept, until, s.incarnation, lives, s.held_count, ghosts, s.promised_amount, absent, boot)
-
-
-def _quick(now: float, store: Store, k: Kept, share_type: type) -> Kept:
-    """The second controller hears at once what the store has, and looks who is there."""
-    s = _on(1, k, now, share_type)
-    s.update_lease(store.claims[1][0], now + TTL - 0.5, True)
-    s.observe(now, store.revision, store.version, store.data)
-    s._expired_controllers(
-        now, s.allocation, {str(w): claim for w, (claim, _) in enumerate(store.claims) if claim}
+    reply: tuple | None = None
+
+
+class ShareState(NamedTuple):
+    """The saved state of one controller's `BudgetShare`."""
+
+    document: tuple = (-1, 0, None, None, False, 0)
+    lease_until: float = LONG_PAST
+    incarnation: int = -1
+    incarnations: tuple = ()
+    held_count: int = 0
+    inherited: tuple = (0, LONG_PAST)
+    promised_amount: int | None = None
+    absent_since: tuple = ()
+    restart_count: int = 0  # how often the controller's process was killed and restarted
+
+
+def _restore(controller: int, saved: ShareState, now: float, share_type: type) -> BudgetShare:
+    share = share_type(TERMS, str(controller), float(TTL_SECONDS))
+    document = share.document
+    document.revision, document.version, data, document.pending, document.uncertain, document.commit_count = (
+        saved.document
     )
-    return _off(s, store.data, now, k.boot)
+    document._load(data)
+    share._apply(now, None)
+    share.lease_until, share.incarnation = saved.lease_until, saved.incarnation
+    document.incarnation = max(0, saved.incarnation)
+    share.incarnations, share.held_count = set(saved.incarnations), saved.held_count
+    share.inherited, share.promised_amount = saved.inherited, saved.promised_amount
+    share.absent_since = dict(saved.absent_since)
+    if not share.room(now):
+        share.rejections.append(now)  # there is always demand for one more
+    share.due = now
+    return share
+
+
+def _save(share: BudgetShare, data: bytes | None, now: float, restart_count: int) -> ShareState:
+    document = share.document
+    return ShareState(
+        document=(
+            document.revision,
+            document.version,
+            data,
+            document.pending,
+            document.uncertain,
+            document.commit_count,
+        ),
+        lease_until=share.lease_until if share.lease_until > now else LONG_PAST,
+        incarnation=share.incarnation,
+        incarnations=tuple(sorted(share.incarnations)),
+        held_count=share.held_count,
+        inherited=share.inherited if share.inherited[1] > now else (0, LONG_PAST),
+        promised_amount=share.promised_amount,
+        absent_since=tuple(sorted(share.absent_since.items())),
+        restart_count=restart_count,
+    )
+
+
+def _live(store: StoreState) -> dict[str, int]:
+    """The controllers that hold a claim, with its revision."""
+    return {str(controller): claim for controller, (claim, _) in enumerate(store.claims) if claim}
+
+
+def _synchronize(now: float, store: StoreState, saved: ShareState, share_type: type) -> ShareState:
+    """Bring controller 1 up to date with the store's document and with the live controllers."""
+    share = _restore(1, saved, now, share_type)
+    share.update_lease(store.claims[1][0], now + TTL_SECONDS - TRUST_MARGIN_SECONDS, True)
+    share.observe(now, store.revision, store.version, store.data)
+    share._expired_controllers(now, share.allocation, _live(store))
+    return _save(share, store.data, now, saved.restart_count)
+
+
+def _initial_state() -> tuple:
+    store = StoreState(3, 3, INITIAL_DATA, ((1, TTL_SECONDS), (2, TTL_SECONDS)))
+    document = (3, 3, INITIAL_DATA, None, False, 0)
+    first = ShareState(document, TTL_SECONDS - TRUST_MARGIN_SECONDS, 1, (1,))
+    second = ShareState(document, TTL_SECONDS - TRUST_MARGIN_SECONDS, 2, (2,))
+    return 0, store, (first, second), (), (), 0
+
+
+def _use_within_limit(state: dict) -> bool:
+    return len(state["items"]) <= TERMS.limit
+
+
+def _allotments_within_limit(state: dict) -> bool:
+    allocation = read_allocation(state["store"].data)
+    total = sum(allotment.amount for allotment in allocation.allotments.values())
+    return not allocation.open or total <= allocation.limit
 
 
 def budget_model(
     seconds: int = 7, commits: int = 2, kills: int = 1, share_type: type = BudgetShare
 ) -> Protocol:
-    """The world for so many seconds, with so many commits of each process and so many kills."""
+    """The model for `seconds`, with at most `commits` of each process and `kills` in all."""
 
-    def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
-        now, store, kept, sky, things, killed = state
+    def transitions(state: tuple) -> Iterator[tuple[str, tuple]]:
+        now, store, shares, in_flight, items, killed = state
         if now < seconds:
-            # What is over is heard of by those that are there; a process begun meanwhile knows nothing of it.
-            over = [(who, boot) for who, end, boot in things if end <= now + 1]
-            left = tuple(k._replace(used=k.used - over.count((w, k.boot))) for w, k in enumerate(kept))
-            (life, end), (other, _) = store.claims
-            first = (0, 0) if end <= now + 1 else (life, end)
-            there = store._replace(claims=(first, (other, now + 1 + TTL)))
-            on = tuple(thing for thing in things if thing[1] > now + 1)
-            left = left[0], _quick(now + 1, there, left[1], share_type)
-            yield "a second passes", (now + 1, there, left, sky, on, killed)
-        for who, k in enumerate(kept):
-
-            def at(s: BudgetShare, data=k.ledger[2], who=who, store=store, sky=sky, things=things) -> tuple:
-                new = _off(s, data, now, kept[who].boot)
-                there = tuple(new if w == who else o for w, o in enumerate(kept))
-                return now, store, there, sky, things, killed
-
-            life, _ = store.claims[who]
+            # Running processes learn of the items that end; a process started since then does not know them.
+            ended = [(controller, restart) for controller, end, restart in items if end <= now + 1]
+            new_shares = tuple(
+                saved._replace(held_count=saved.held_count - ended.count((controller, saved.restart_count)))
+                for controller, saved in enumerate(shares)
+            )
+            (first_claim, expires), (second_claim, _) = store.claims
+            first = (0, 0) if expires <= now + 1 else (first_claim, expires)
+            new_store = store._replace(claims=(first, (second_claim, now + 1 + TTL_SECONDS)))
+            still_held = tuple(item for item in items if item[1] > now + 1)
+            new_shares = new_shares[0], _synchronize(now + 1, new_store, new_shares[1], share_type)
+            yield "a second passes", (now + 1, new_store, new_shares, in_flight, still_held, killed)
+        for controller, saved in enumerate(shares):
+
+            def successor(
+                share: BudgetShare,
+                data=saved.document[2],
+                controller=controller,
+                store=store,
+                in_flight=in_flight,
+                items=items,
+            ) -> tuple:
+                new = _save(share, data, now, shares[controller].restart_count)
+                new_shares = tuple(new if i == controller else other for i, other in enumerate(shares))
+                return now, store, new_shares, in_flight, items, killed
+
+            claim, _ = store.claims[controller]
             claims = list(store.claims)
-            s = _on(who, k, now, share_type)
-            if who == 1:
+            trusted_until = now + TTL_SECONDS - TRUST_MARGIN_SECONDS
+            share = _restore(controller, saved, now, share_type)
+            if controller == 1:
                 pass
-            elif not life:
-                claims[who] = (store.revision + 1, now + TTL)
-                there = store._replace(revision=store.revision + 1, claims=tuple(claims))
-                s.update_lease(store.revision + 1, now + TTL - 0.5, True)
-                yield f"{who} claims its number", at(s, store=there)
-            elif life == k.claimed and k.until < now + TTL - 0.5:
-                claims[who] = (life, now + TTL)
-                s.update_lease(life, now + TTL - 0.5, True)
-                yield f"{who} renews its lease", at(s, store=store._replace(claims=tuple(claims)))
-            s = _on(who, k, now, share_type)
-            if who == 0 and store.revision > k.ledger[0]:
-                s.observe(now, store.revision, store.version, store.data)
-                yield f"{who} reads", at(s, store.data)
-                s = _on(who, k, now, share_type)
-            if s.room(now):
-                s.record_start(now)
-                yield f"{who} begins one", at(s, things=(*things, (who, now + LASTS, k.boot)))
-            s = _on(who, k, now, share_type)
-            if s.document.commit_count < commits or s.document.pending:
-                # What is decided on an older document is never taken: it is read first.
-                s.observe(now, store.revision, store.version, store.data)
-                live = {str(w): claim for w, (claim, _) in enumerate(store.claims) if claim}
-                commit = s.next_commit(float(now), live)
-                if commit and not any(f.who == who for f in sky):
-                    yield f"{who} commits", at(s, store.data, sky=(*sky, Flight(who, commit)))
-                elif commit is None and s.absent_since != dict(k.absent):
-                    yield f"{who} looks who is there", at(s, store.data)
+            elif not claim:
+                claims[controller] = (store.revision + 1, now + TTL_SECONDS)
+                new_store = store._replace(revision=store.revision + 1, claims=tuple(claims))
+                share.update_lease(store.revision + 1, trusted_until, True)
+                yield f"{controller} claims its number", successor(share, store=new_store)
+            elif claim == saved.incarnation and saved.lease_until < trusted_until:
+                claims[controller] = (claim, now + TTL_SECONDS)
+                share.update_lease(claim, trusted_until, True)
+                new_store = store._replace(claims=tuple(claims))
+                yield f"{controller} renews its lease", successor(share, store=new_store)
+            share = _restore(controller, saved, now, share_type)
+            if controller == 0 and store.revision > saved.document[0]:
+                share.observe(now, store.revision, store.version, store.data)
+                yield f"{controller} reads the document", successor(share, store.data)
+                share = _restore(controller, saved, now, share_type)
+            if share.room(now):
+                share.record_start(now)
+                item = (controller, now + LINGER_SECONDS, saved.restart_count)
+                yield f"{controller} starts an item", successor(share, items=(*items, item))
+            share = _restore(controller, saved, now, share_type)
+            if share.document.commit_count < commits or share.document.pending:
+                # A commit based on an older document is always rejected, so the document is read first.
+                share.observe(now, store.revision, store.version, store.data)
+                commit = share.next_commit(float(now), _live(store))
+                if commit and not any(flight.controller == controller for flight in in_flight):
+                    sent = (*in_flight, CommitInFlight(controller, commit))
+                    yield f"{controller} commits", successor(share, store.data, in_flight=sent)
+                elif commit is None and share.absent_since != dict(saved.absent_since):
+                    yield f"{controller} checks which controllers are live", successor(share, store.data)
             if killed < kills:
-                anew = tuple(Kept(boot=k.boot + 1) if w == who else o for w, o in enumerate(kept))
-                yield f"{who} is killed", (now, store, anew, sky, things, killed + 1)
-        for i, f in enumerate(sky):
-            rest = sky[:i] + sky[i + 1 :]
-            if f.answer is None:
-                won = f.commit.base_version == store.version
-                there = store
+                new_shares = tuple(
+                    ShareState(restart_count=saved.restart_count + 1) if i == controller else other
+                    for i, other in enumerate(shares)
+                )
+                yield (
+                    f"{controller} is killed and restarted",
+                    (now, store, new_shares, in_flight, items, killed + 1),
+                )
+        for i, flight in enumerate(in_flight):
+            others = in_flight[:i] + in_flight[i + 1 :]
+            controller = flight.controller
+            if flight.reply is None:
+                won = flight.commit.base_version == store.version
+                new_store = store
                 if won:
-                    new = store.revision + 1
-                    there = store._replace(revision=new, version=new, data=f.commit.data)
-                back = f._replace(answer=(there.revision, won, there.version, there.data))
-                heard = kept[0], _quick(now, there, kept[1], share_type)
-                on_its_way = rest if f.who else (*rest, back)
-                yield f"the store meets {f.who}", (now, there, heard, on_its_way, things, killed)
+                    revision = store.revision + 1
+                    new_store = store._replace(revision=revision, version=revision, data=flight.commit.data)
+                reply = (new_store.revision, won, new_store.version, new_store.data)
+                new_shares = shares[0], _synchronize(now, new_store, shares[1], share_type)
+                remaining = others if controller else (*others, flight._replace(reply=reply))
+                yield (
+                    f"the store receives the commit of {controller}",
+                    (now, new_store, new_shares, remaining, items, killed),
+                )
                 continue
             for lost in (True, False):
-                s = _on(f.who, kept[f.who], now, share_type)
+                share = _restore(controller, shares[controller], now, share_type)
                 if lost:
-                    s.handle_unknown_outcome(now, f.commit)
+                    share.handle_unknown_outcome(now, flight.commit)
                 else:
-                    s.handle_reply(now, f.commit, *f.answer)
-                data = kept[f.who].ledger[2] if s.document.version != f.answer[2] or lost else f.answer[3]
-                new = _off(s, data, now, kept[f.who].boot)
-                heard = tuple(new if w == f.who else o for w, o in enumerate(kept))
-                what = "an answer is lost to" if lost else "an answer reaches"
-                yield f"{what} {f.who}", (now, store, heard, rest, things, killed)
-
-    def within(state: dict) -> bool:
-        return len(state["things"]) <= TERMS.limit
-
-    def summed(state: dict) -> bool:
-        d = read_allocation(state["store"].data)
-        return not d.open or sum(p.amount for p in d.allotments.values()) <= d.limit
-
-    store = Store(3, 3, START, ((1, TTL), (2, TTL)))
-    first = Kept((3, 3, START, None, False, 0), TTL - 0.5, 1, (1,))
-    second = Kept((3, 3, START, None, False, 0), TTL - 0.5, 2, (2,))
+                    share.handle_reply(now, flight.commit, *flight.reply)
+                known_data = shares[controller].document[2]
+                data = known_data if share.document.version != flight.reply[2] or lost else flight.reply[3]
+                new = _save(share, data, now, shares[controller].restart_count)
+                new_shares = tuple(new if w == controller else other for w, other in enumerate(shares))
+                what = "a reply is lost to" if lost else "a reply reaches"
+                yield f"{what} {controller}", (now, store, new_shares, others, items, killed)
+
     return Protocol(
-        name="sharing",
+        name="budget_model",
         candidate=False,
-        fields=("now", "store", "kept", "sky", "things", "killed"),
-        initial=(0, store, (first, second), (), (), 0),
-        transitions=lambda state: list(moves(state)),
-        invariants={"no more plays than the whole": within, "the parts are within the whole": summed},
-        goal=lambda state: any(who == 1 for who, *_ in state["things"]),
+        fields=("now", "store", "shares", "in_flight", "items", "killed"),
+        initial=_initial_state(),
+        transitions=lambda state: list(transitions(state)),
+        invariants={
+            "use is within the limit": _use_within_limit,
+            "the allotments are within the limit": _allotments_within_limit,
+        },
+        goal=lambda state: any(controller == 1 for controller, *_ in state["items"]),
     )
