--- a/herongap/fleet/protocol_models.py
+++ b/herongap/fleet/protocol_models.py
@@ -1,11 +1,13 @@
-"""Small worlds in which the shipped state machines are checked over all interleavings, with minicheck.
-
-`following` is a store with two keys, a leader, a member that lags, and one follower whose stream may be
-cut, repeated, fragmented or overtaken by a compaction at any moment. `leasing` is a lease server and two
-controllers that want one number. What moves in them is `herongap.etcd.PrefixFollower` and `Membership`
-themselves: each step makes the machine from its state, calls it, and takes the state off again. `settling`
-is a store with one document and two writers, `herongap.accord.SharedDocument` themselves. `broken` puts a
-machine with a mistake in its place, to see that the mistake is found.
+"""Small models in which minicheck checks the shipped state machines over all interleavings.
+
+- `follower_model`: a store with two keys, its leader, a member that lags behind, and one follower whose watch
+  may be cut, repeated, fragmented or overtaken by a compaction at any moment (`etcd.PrefixFollower`).
+- `lease_model`: a lease server and two controllers that claim one number (`etcd.Membership`).
+- `document_model`: a store with one document and two writers (`accord.SharedDocument`).
+
+The transitions run the shipped classes themselves: each one restores the machine from the model's state,
+calls it, and saves its state again. `faulty_model` runs a variant with a seeded mistake instead, to show that
+the checker finds the mistake.
 """
 
 from collections.abc import Iterator
@@ -14,84 +16,99 @@
 from minicheck import Protocol
 
 from herongap.accord import Commit, CommitOutcome, SharedDocument
-from herongap.etcd import membership as rules_of_leases
+from herongap.etcd import membership as lease_rules
 from herongap.etcd.follower import KeyEntry, MessageOutcome, NextAction, PrefixFollower
 from herongap.etcd.membership import LeaseRequest, Membership
 from herongap.etcd.messages import Event, KeyValue, RangeResponse, ResponseHeader, WatchResponse
 
-CLUSTER = 7
+CLUSTER_ID = 7
 KEYS = ("drain", "streamer")
+FIRST_DELETE = 2  # operations below this put the key of that index, the others delete key `op % 2`
 
 
-# The follower's world.
+# The follower of a prefix.
 
 
-class Stream(NamedTuple):
-    """A watch as its server has it: the member, the next revision it sends, what is on its way."""
+class WatchStream(NamedTuple):
+    """The server's side of a watch: its member, the next revision to send, and the messages in flight."""
 
     member: int
-    next: int
-    queue: tuple = ()
+    next_revision: int
+    in_flight: tuple = ()
 
 
-class Store(NamedTuple):
-    """The world beside the follower. An op is a key that is put, or (from 2 on) deleted."""
+class StoreHistory(NamedTuple):
+    """The store: its operations so far, the compacted revision, and how far the second member has applied."""
 
-    ops: tuple[int, ...] = ()
+    operations: tuple[int, ...] = ()
     compacted: int = 0
-    behind: int = 0  # where the second member stands
+    applied_by_second: int = 0
 
     def at(self, revision: int) -> dict[str, KeyEntry]:
-        """The truth at a revision; the empty store's is 1."""
+        """The content at a revision; the empty store has revision 1."""
         items: dict[str, KeyEntry] = {}
-        for rev, op in enumerate(self.ops[: max(0, revision - 1)], 2):
+        for op_revision, op in enumerate(self.operations[: max(0, revision - 1)], 2):
             key = KEYS[op % 2]
-            if op >= 2:
+            if op >= FIRST_DELETE:
                 items.pop(key, None)
             else:
-                create = items[key].create_revision if key in items else rev
-                items[key] = KeyEntry(b"%d" % rev, create, rev)
+                create_revision = items[key].create_revision if key in items else op_revision
+                items[key] = KeyEntry(b"%d" % op_revision, create_revision, op_revision)
         return items
 
     def revision(self, member: int) -> int:
-        return 1 + (len(self.ops) if member == 0 else self.behind)
+        """The revision of a member: 0 is the leader, 1 the member that lags."""
+        return 1 + (len(self.operations) if member == 0 else self.applied_by_second)
 
     def event(self, revision: int) -> Event:
-        op = self.ops[revision - 2]
+        """The watch event of the operation at a revision."""
+        op = self.operations[revision - 2]
         key = KEYS[op % 2].encode()
-        if op >= 2:
+        if op >= FIRST_DELETE:
             return Event(KeyValue(key, mod_revision=revision), "DELETE")
         item = self.at(revision)[KEYS[op % 2]]
         return Event(KeyValue(key, item.value, item.create_revision, item.mod_revision))
 
 
-def _freeze(f: PrefixFollower) -> tuple:
-    pages = None if f._pages is None else tuple(sorted(f._pages.items()))
-    parts = tuple((e.kv.mod_revision) for e in f._fragments)
-    return (
-        f.revision,
-        f.highest_revision,
-        f.next_action,
-        f.watching,
-        tuple(sorted(f.items.items())),
-        pages,
-        f._read_revision,
-        parts,
+class FollowerState(NamedTuple):
+    """The saved state of a `PrefixFollower`."""
+
+    revision: int
+    highest_revision: int
+    next_action: NextAction
+    watching: bool
+    items: tuple
+    pages: tuple | None
+    read_revision: int
+    fragment_revisions: tuple
+
+
+def _save_follower(follower: PrefixFollower) -> FollowerState:
+    return FollowerState(
+        revision=follower.revision,
+        highest_revision=follower.highest_revision,
+        next_action=follower.next_action,
+        watching=follower.watching,
+        items=tuple(sorted(follower.items.items())),
+        pages=None if follower._pages is None else tuple(sorted(follower._pages.items())),
+        read_revision=follower._read_revision,
+        fragment_revisions=tuple(event.kv.mod_revision for event in follower._fragments),
     )
 
 
-def _thaw(state: tuple, store: Store, make: type) -> PrefixFollower:
-    revision, seen, need, watching, items, pages, at, parts = state
-    f = make(CLUSTER, revision, dict(items))
-    f.highest_revision, f.next_action, f.watching = seen, need, watching
-    f._pages, f._read_revision = None if pages is None else dict(pages), at
-    f._fragments = [store.event(rev) for rev in parts]
-    return f
+def _restore_follower(saved: FollowerState, store: StoreHistory, follower_type: type) -> PrefixFollower:
+    follower = follower_type(CLUSTER_ID, saved.revision, dict(saved.items))
+    follower.highest_revision = saved.highest_revision
+    follower.next_action, follower.watching = saved.next_action, saved.watching
+    follower._pages = None if saved.pages is None else dict(saved.pages)
+    follower._read_revision = saved.read_revision
+    follower._fragments = [store.event(revision) for revision in saved.fragment_revisions]
+    return follower
 
 
-def _message(store: Store, sent: tuple) -> WatchResponse:
-    kind, revision, *rest = sent
-    header = ResponseHeader(CLUSTER, revision=revision)
+def _watch_response(store: StoreHistory, message: tuple) -> WatchResponse:
+    kind, revision, *rest = message
+    header = ResponseHeader(CLUSTER_ID, revision=revision)
     match kind:
         case "created":
             return WatchResponse(header, created=True)
@@ -99,368 +116,444 @@
             return WatchResponse(header, canceled=True, compact_revision=rest[0])
         case "progress":
             return WatchResponse(header)
-    return WatchResponse(header, fragment=kind == "fragment", events=[store.event(rev) for rev in rest])
+    events = [store.event(event_revision) for event_revision in rest]
+    return WatchResponse(header, fragment=kind == "fragment", events=events)
 
 
-def follower_model(ops: int = 3, make: type = PrefixFollower, repeats: bool = True) -> Protocol:
-    """The world with at most `ops` changes of the store; `make` is the follower that is checked."""
+def follower_model(
+    max_operations: int = 3, follower_type: type = PrefixFollower, repeats: bool = True
+) -> Protocol:
+    """The model with at most `max_operations` changes of the store; `follower_type` is checked."""
 
-    def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
-        store, frozen, stream, _ = state
-        if len(store.ops) < ops:
-            truth = store.at(store.revision(0))
+    def transitions(state: tuple) -> Iterator[tuple[str, tuple]]:
+        store, saved, stream, _ = state
+        if len(store.operations) < max_operations:
+            content = store.at(store.revision(0))
             for op in range(4):
-                if op < 2 or KEYS[op % 2] in truth:
-                    name = f"{'delete' if op >= 2 else 'put'} {KEYS[op % 2]}"
-                    yield name, (store._replace(ops=(*store.ops, op)), frozen, stream, False)
-        if store.behind < len(store.ops):
-            yield "member catches up", (store._replace(behind=store.behind + 1), frozen, stream, False)
+                if op < FIRST_DELETE or KEYS[op % 2] in content:
+                    label = f"{'delete' if op >= FIRST_DELETE else 'put'} {KEYS[op % 2]}"
+                    new_store = store._replace(operations=(*store.operations, op))
+                    yield label, (new_store, saved, stream, False)
+        if store.applied_by_second < len(store.operations):
+            new_store = store._replace(applied_by_second=store.applied_by_second + 1)
+            yield "second member applies an operation", (new_store, saved, stream, False)
         if store.compacted < store.revision(0):
-            yield "compact", (store._replace(compacted=store.revision(0)), frozen, stream, False)
+            yield "compact", (store._replace(compacted=store.revision(0)), saved, stream, False)
         if stream is None:
-            yield from reads(store, frozen) if frozen[2] is NextAction.READ else watches(store, frozen)
+            yield from reads(store, saved) if saved.next_action is NextAction.READ else watches(store, saved)
             return
-        yield "cut", after(store, frozen, None, lambda f: f.stop_watch(f.watch_number))
-        yield from sends(store, frozen, stream)
-        if stream.queue:
-            sent, *rest = stream.queue
-            shorter = stream._replace(queue=tuple(rest))
+        yield "cut", after(store, saved, None, lambda follower: follower.stop_watch(follower.watch_number))
+        yield from sends(store, saved, stream)
+        if stream.in_flight:
+            message, *rest = stream.in_flight
+            remaining = stream._replace(in_flight=tuple(rest))
             yield (
-                f"deliver {sent}",
+                f"deliver {message}",
                 after(
-                    store, frozen, shorter, lambda f: f.handle_watch(f.watch_number, _message(store, sent))
+                    store,
+                    saved,
+                    remaining,
+                    lambda follower: follower.handle_watch(
+                        follower.watch_number, _watch_response(store, message)
+                    ),
                 ),
             )
 
-    def after(store: Store, frozen: tuple, stream: Stream | None, call) -> tuple:
-        f = _thaw(frozen, store, make)
-        told = call(f)
-        if told in (MessageOutcome.MEMBER_BEHIND, MessageOutcome.CANCELED, MessageOutcome.COMPACTED):
-            # What the client does then: it lets go of this stream.
-            f.stop_watch(f.watch_number)
+    def after(store: StoreHistory, saved: FollowerState, stream: WatchStream | None, call) -> tuple:
+        """The state after a call to the follower."""
+        follower = _restore_follower(saved, store, follower_type)
+        outcome = call(follower)
+        if outcome in (MessageOutcome.MEMBER_BEHIND, MessageOutcome.CANCELED, MessageOutcome.COMPACTED):
+            # The client closes the stream on these outcomes.
+            follower.stop_watch(follower.watch_number)
             stream = None
-        older = f.revision < frozen[0] or any(
-            key in f.items and f.items[key].mod_revision < item.mod_revision for key, item in frozen[4]
+        went_back = follower.revision < saved.revision or any(
+            key in follower.items and follower.items[key].mod_revision < item.mod_revision
+            for key, item in saved.items
         )
-        return store, _freeze(f), stream, older
+        return store, _save_follower(follower), stream, went_back
 
-    def reads(store: Store, frozen: tuple) -> Iterator:
+    def reads(store: StoreHistory, saved: FollowerState) -> Iterator:
         for member in (0, 1):
-            start, pinned = _thaw(frozen, store, make).next_page_start()
-            here = store.revision(member)
-            if pinned and (pinned < store.compacted or pinned > here):
-                yield f"read refused by {member}", after(store, frozen, None, lambda f: f.abort_read())
+            start, pinned = _restore_follower(saved, store, follower_type).next_page_start()
+            revision = store.revision(member)
+            if pinned and (pinned < store.compacted or pinned > revision):
+                new_state = after(store, saved, None, lambda follower: follower.abort_read())
+                yield f"read rejected by member {member}", new_state
                 continue
-            items = sorted((k, v) for k, v in store.at(pinned or here).items() if k > start)
+            items = sorted((k, v) for k, v in store.at(pinned or revision).items() if k > start)
             page = [KeyValue(k.encode(), v.value, v.create_revision, v.mod_revision) for k, v in items[:1]]
-            reply = RangeResponse(ResponseHeader(CLUSTER, revision=here), page, more=len(items) > 1)
-            yield f"read a page of {member}", after(store, frozen, None, lambda f, r=reply: f.handle_page(r))
-        yield "read breaks", after(store, frozen, None, lambda f: f.abort_read())
+            reply = RangeResponse(ResponseHeader(CLUSTER_ID, revision=revision), page, more=len(items) > 1)
+            yield (
+                f"read a page from member {member}",
+                after(store, saved, None, lambda follower, reply=reply: follower.handle_page(reply)),
+            )
+        yield "read fails", after(store, saved, None, lambda follower: follower.abort_read())
 
-    def watches(store: Store, frozen: tuple) -> Iterator:
+    def watches(store: StoreHistory, saved: FollowerState) -> Iterator:
         for member in (0, 1):
-            f = _thaw(frozen, store, make)
-            _, start = f.start_watch()
-            here = store.revision(member)
-            queue: tuple = (("created", here),)
-            if start <= store.compacted and start <= here:
-                queue += (("cancel", here, store.compacted),)
-            yield f"watch {member} from {start}", (store, _freeze(f), Stream(member, start, queue), False)
-
-    def sends(store: Store, frozen: tuple, stream: Stream) -> Iterator:
-        here, first = store.revision(stream.member), stream.next
-        if len(stream.queue) > 1 or any(sent[0] == "cancel" for sent in stream.queue):
+            follower = _restore_follower(saved, store, follower_type)
+            _, start = follower.start_watch()
+            revision = store.revision(member)
+            in_flight: tuple = (("created", revision),)
+            if start <= store.compacted and start <= revision:
+                in_flight += (("cancel", revision, store.compacted),)
+            stream = WatchStream(member, start, in_flight)
+            yield (
+                f"watch member {member} from {start}",
+                (store, _save_follower(follower), stream, False),
+            )
+
+    def sends(store: StoreHistory, saved: FollowerState, stream: WatchStream) -> Iterator:
+        revision, first = store.revision(stream.member), stream.next_revision
+        in_flight = stream.in_flight
+        if len(in_flight) > 1 or any(message[0] == "cancel" for message in in_flight):
             return
-        if first <= here:
-            sent = ("events", here, first)
-            yield "send", (store, frozen, stream._replace(next=first + 1, queue=(*stream.queue, sent)), False)
+        if first <= revision:
+            message = ("events", revision, first)
+            sent = stream._replace(next_revision=first + 1, in_flight=(*in_flight, message))
+            yield "send", (store, saved, sent, False)
             if repeats:
-                yield "send twice", (store, frozen, stream._replace(queue=(*stream.queue, sent)), False)
-        if first < here:
-            halves = ("fragment", here, first), ("events", here, first + 1)
-            longer = (*stream.queue, *halves)
-            yield "send in fragments", (store, frozen, stream._replace(next=first + 2, queue=longer), False)
-        if first > here and not stream.queue:
-            yield "progress", (store, frozen, stream._replace(queue=(("progress", here),)), False)
-
-    def true(state: dict) -> bool:
-        store, (revision, _, _, _, items, *_) = state["store"], state["follower"]
-        return not revision or dict(items) == store.at(revision)
-
-    def steady(state: dict) -> bool:
-        store, (revision, _, need, watching, *_) = state["store"], state["follower"]
-        return need is NextAction.WATCH and watching and revision == store.revision(0)
+                repeated = stream._replace(in_flight=(*in_flight, message))
+                yield "send twice", (store, saved, repeated, False)
+        if first < revision:
+            fragments = ("fragment", revision, first), ("events", revision, first + 1)
+            sent = stream._replace(next_revision=first + 2, in_flight=(*in_flight, *fragments))
+            yield "send in fragments", (store, saved, sent, False)
+        if first > revision and not in_flight:
+            sent = stream._replace(in_flight=(("progress", revision),))
+            yield "progress", (store, saved, sent, False)
+
+    def content_is_exact(state: dict) -> bool:
+        store, follower = state["store"], state["follower"]
+        return not follower.revision or dict(follower.items) == store.at(follower.revision)
+
+    def caught_up(state: dict) -> bool:
+        store, follower = state["store"], state["follower"]
+        return (
+            follower.next_action is NextAction.WATCH
+            and follower.watching
+            and follower.revision == store.revision(0)
+        )
 
     return Protocol(
-        name="following",
+        name="following",  # the name in the output of benchmarks/etcd.py
         candidate=False,
-        fields=("store", "follower", "stream", "older"),
-        initial=(Store(), _freeze(make(CLUSTER)), None, False),
-        transitions=lambda state: list(moves(state)),
+        fields=("store", "follower", "stream", "went_back"),
+        initial=(StoreHistory(), _save_follower(follower_type(CLUSTER_ID)), None, False),
+        transitions=lambda state: list(transitions(state)),
         invariants={
-            "the mirror is the truth at its revision": true,
-            "no older state after a newer one": lambda state: not state["older"],
+            "the follower's content is exact at its revision": content_is_exact,
+            "no older state after a newer one": lambda state: not state["went_back"],
         },
-        goal=steady,
+        goal=caught_up,
     )
 
 
-# The world of leases.
+# Leases and the controllers' numbers.
 
-TTL = 3
+TTL_SECONDS = 3
+MAX_MESSAGE_AGE_SECONDS = TTL_SECONDS + 2  # older messages are all one state
 
 
-class Server(NamedTuple):
-    """Leases by the seconds that they have left, and who holds the number."""
+class LeaseServer(NamedTuple):
+    """The remaining seconds of each controller's lease, and which controller holds the number."""
 
-    left: tuple[int, int] = (0, 0)
+    seconds_left: tuple[int, int] = (0, 0)
     holder: int | None = None
 
 
-class Mail(NamedTuple):
-    """A request on its way (`answer` None) or its answer; `age` is how long ago it was sent."""
+class LeaseMessage(NamedTuple):
+    """A request in flight (`answer` is None) or its answer; `age`: seconds since the request was sent."""
 
-    step: LeaseRequest
+    request: LeaseRequest
     age: int
     answer: int | None = None
 
 
-def _off(m: Membership) -> tuple:
-    """A membership by times from now; what is long past is all one."""
-    return m.lease, m.claimed, max(-1.0, m.trusted_until), max(0.0, m.next_due)
-
-
-def _on(state: tuple, make: type) -> Membership:
-    m = make(1, 2, TTL)
-    m.lease, m.claimed, m.trusted_until, m.next_due = state
-    return m
-
-
-def lease_model(make: type = Membership) -> Protocol:
-    """Two controllers, of which one may be paused for any time, and requests that take any time."""
-
-    def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
-        server, ours, mail = state
-        left = tuple(max(0, seconds - 1) for seconds in server.left)
-        holder = server.holder if server.holder is not None and left[server.holder] else None
-        older = tuple((m[0], m[1], max(-1.0, m[2] - 1), max(0.0, m[3] - 1)) for m in ours)
-        aged = tuple(m and m._replace(age=min(TTL + 2, m.age + 1)) for m in mail)
-        yield "a second passes", (Server(left, holder), older, aged)
-        for who in (0, 1):
-            m = _on(ours[who], make)
-            if mail[who] is None:
-                step = m.next_request(0.0)
-                if step:
-                    yield f"{who} asks to {step.value}", put(state, who, m, Mail(step, 0))
-            elif mail[who].answer is None:
-                yield f"the server meets {who}", met(state, who)
-                yield f"{who}'s request is lost", put(state, who, failed(m), None)
+def _save_membership(membership: Membership) -> tuple:
+    """The state with times relative to now; all times that passed long ago are one value."""
+    return (
+        membership.lease,
+        membership.claimed,
+        max(-1.0, membership.trusted_until),
+        max(0.0, membership.next_due),
+    )
+
+
+def _restore_membership(saved: tuple, membership_type: type) -> Membership:
+    membership = membership_type(1, 2, TTL_SECONDS)
+    membership.lease, membership.claimed, membership.trusted_until, membership.next_due = saved
+    return membership
+
+
+def lease_model(membership_type: type = Membership) -> Protocol:
+    """Two controllers, of which either may be paused for any time, and messages that may take any time."""
+
+    def transitions(state: tuple) -> Iterator[tuple[str, tuple]]:
+        server, controllers, messages = state
+        seconds_left = tuple(max(0, seconds - 1) for seconds in server.seconds_left)
+        holder = server.holder if server.holder is not None and seconds_left[server.holder] else None
+        older = tuple((c[0], c[1], max(-1.0, c[2] - 1), max(0.0, c[3] - 1)) for c in controllers)
+        aged = tuple(m and m._replace(age=min(MAX_MESSAGE_AGE_SECONDS, m.age + 1)) for m in messages)
+        yield "a second passes", (LeaseServer(seconds_left, holder), older, aged)
+        for i in (0, 1):
+            membership = _restore_membership(controllers[i], membership_type)
+            message = messages[i]
+            if message is None:
+                request = membership.next_request(0.0)
+                if request:
+                    sent = LeaseMessage(request, 0)
+                    yield f"{i} sends a request to {request.value}", updated(state, i, membership, sent)
+            elif message.answer is None:
+                yield f"the server answers {i}", answered(state, i)
+                yield f"the request of {i} is lost", updated(state, i, failed(membership), None)
             else:
-                yield f"{who} hears", put(state, who, heard(m, mail[who]), None)
-                yield f"{who}'s answer is lost", put(state, who, failed(m), None)
-
-    def put(state: tuple, who: int, m: Membership, sent: Mail | None) -> tuple:
-        server, ours, mail = state
-        ours, mail = list(ours), list(mail)
-        ours[who], mail[who] = _off(m), sent
-        return server, tuple(ours), tuple(mail)
-
-    def met(state: tuple, who: int) -> tuple:
-        server, ours, mail = state
-        left, holder, sent = list(server.left), server.holder, mail[who]
-        if sent.step is LeaseRequest.GRANT:
-            left[who], answer = TTL, 1
-            holder = None if holder == who else holder  # another lease: the number was put under the old one
-        elif sent.step is LeaseRequest.KEEP_ALIVE:
-            answer = TTL if left[who] else 0
-            left[who] = answer
+                yield f"{i} receives the answer", updated(state, i, received(membership, message), None)
+                yield f"the answer to {i} is lost", updated(state, i, failed(membership), None)
+
+    def updated(state: tuple, i: int, membership: Membership, message: LeaseMessage | None) -> tuple:
+        server, controllers, messages = state
+        controllers, messages = list(controllers), list(messages)
+        controllers[i], messages[i] = _save_membership(membership), message
+        return server, tuple(controllers), tuple(messages)
+
+    def answered(state: tuple, i: int) -> tuple:
+        server, controllers, messages = state
+        seconds_left, holder, message = list(server.seconds_left), server.holder, messages[i]
+        if message.request is LeaseRequest.GRANT:
+            seconds_left[i], answer = TTL_SECONDS, 1
+            # The number was claimed under the earlier lease, so a new lease does not hold it.
+            holder = None if holder == i else holder
+        elif message.request is LeaseRequest.KEEP_ALIVE:
+            answer = TTL_SECONDS if seconds_left[i] else 0
+            seconds_left[i] = answer
         else:
-            answer = int(bool(left[who]) and holder is None)
-            holder = who if answer else holder
-        mail = list(mail)
-        mail[who] = sent._replace(answer=answer)
-        return Server(tuple(left), holder), ours, tuple(mail)
-
-    def failed(m: Membership) -> Membership:
-        m.request_failed(0.0)
-        return m
-
-    def heard(m: Membership, sent: Mail) -> Membership:
-        at = float(-sent.age)
-        if sent.step is LeaseRequest.GRANT:
-            m.lease_granted(at, 1, TTL)
-        elif sent.step is LeaseRequest.KEEP_ALIVE:
-            m.keepalive_answered(at, sent.answer)
+            answer = int(bool(seconds_left[i]) and holder is None)
+            holder = i if answer else holder
+        messages = list(messages)
+        messages[i] = message._replace(answer=answer)
+        return LeaseServer(tuple(seconds_left), holder), controllers, tuple(messages)
+
+    def failed(membership: Membership) -> Membership:
+        membership.request_failed(0.0)
+        return membership
+
+    def received(membership: Membership, message: LeaseMessage) -> Membership:
+        sent_at = float(-message.age)
+        if message.request is LeaseRequest.GRANT:
+            membership.lease_granted(sent_at, 1, TTL_SECONDS)
+        elif message.request is LeaseRequest.KEEP_ALIVE:
+            membership.keepalive_answered(sent_at, message.answer)
         else:
-            m.claim_answered(0.0, at, bool(sent.answer))
-        return m
+            membership.claim_answered(0.0, sent_at, bool(message.answer))
+        return membership
+
+    def holders(state: dict) -> list[int]:
+        """The controllers that believe that they hold the number."""
+        return [
+            i
+            for i, saved in enumerate(state["controllers"])
+            if _restore_membership(saved, membership_type).holds_number(0.0)
+        ]
 
-    def one(state: dict) -> bool:
-        return sum(_on(m, make).holds_number(0.0) for m in state["controllers"]) < 2
+    def at_most_one_holder(state: dict) -> bool:
+        return len(holders(state)) < 2
 
-    def truly(state: dict) -> bool:
-        held = [who for who, m in enumerate(state["controllers"]) if _on(m, make).holds_number(0.0)]
-        return all(state["server"].holder == who for who in held)
+    def holders_agree_with_server(state: dict) -> bool:
+        return all(state["server"].holder == i for i in holders(state))
 
-    start = _off(make(1, 2, TTL))
+    start = _save_membership(membership_type(1, 2, TTL_SECONDS))
     return Protocol(
-        name="leasing",
+        name="leasing",  # the name in the output of benchmarks/etcd.py
         candidate=False,
-        fields=("server", "controllers", "mail"),
-        initial=(Server(), (start, start), (None, None)),
-        transitions=lambda state: list(moves(state)),
+        fields=("server", "controllers", "messages"),
+        initial=(LeaseServer(), (start, start), (None, None)),
+        transitions=lambda state: list(transitions(state)),
         invariants={
-            "one number, one holder": one,
-            "who trusts its number holds it at the server": truly,
+            "at most one controller holds the number": at_most_one_holder,
+            "a controller that trusts its number holds it at the server": holders_agree_with_server,
         },
-        goal=lambda state: any(_on(m, make).holds_number(0.0) for m in state["controllers"]),
+        goal=lambda state: bool(holders(state)),
     )
 
 
-# The ledger's world.
+# A shared document.
 
 
-class Shelf(NamedTuple):
-    """The store's document: its version, its bytes, and how many commits of each writer were taken."""
+class DocumentState(NamedTuple):
+    """The store's document: its version, its data, and the number of accepted commits of each writer."""
 
     version: int = 0
     data: bytes | None = None
-    taken: tuple[int, int] = (0, 0)
+    accepted: tuple[int, int] = (0, 0)
 
 
-class Flight(NamedTuple):
-    """A commit on its way to the store, or (`answer`) what the store said to it on its way back."""
+class CommitInFlight(NamedTuple):
+    """A commit on its way to the store or, with a `reply`, the store's reply on its way back."""
 
-    who: int
+    writer: int
     commit: Commit
-    answer: tuple | None = None
+    reply: tuple | None = None
 
 
-def document_model(commits: int = 2, make: type = SharedDocument, max_in_flight: int = 2) -> Protocol:
-    """Two writers of `commits` each; requests and answers are lost, late and doubled at will."""
+class WriterState(NamedTuple):
+    """The saved state of a writer's `SharedDocument`, and how many commits it knows to be accepted."""
 
-    def on(who: int, state: tuple) -> SharedDocument:
-        ledger = make(str(who), 1)
-        ledger.revision, ledger.version, data, ledger.pending, ledger.uncertain, ledger.commit_count, _ = (
-            state
-        )
-        ledger._load(data)
-        return ledger
+    revision: int = -1
+    version: int = 0
+    data: bytes | None = None
+    pending: Commit | None = None
+    uncertain: bool = False
+    commit_count: int = 0
+    committed: int = 0
+
+
+def _save_document(document: SharedDocument, data: bytes | None, committed: int) -> WriterState:
+    return WriterState(
+        document.revision,
+        document.version,
+        data,
+        document.pending,
+        document.uncertain,
+        document.commit_count,
+        committed,
+    )
 
-    def off(ledger: SharedDocument, data: bytes | None, done: int) -> tuple:
-        return (
-            ledger.revision,
-            ledger.version,
-            data,
-            ledger.pending,
-            ledger.uncertain,
-            ledger.commit_count,
-            done,
-        )
 
-    def moves(state: tuple) -> Iterator[tuple[str, tuple]]:
-        shelf, writers, sky = state
-        for who, kept in enumerate(writers):
-
-            def put(ledger: SharedDocument, sky: tuple, told=None, data=kept[2], who=who, kept=kept) -> tuple:
-                there = data if ledger.version != kept[1] or kept[2] is None else kept[2]
-                now = off(ledger, there, kept[6] + (told is CommitOutcome.COMMITTED))
-                return shelf, tuple(now if i == who else w for i, w in enumerate(writers)), sky
-
-            mine = sum(f.who == who for f in sky)
-            ledger = on(who, kept)
-            told = ledger.observe(shelf.version, shelf.version, shelf.data)
-            yield f"{who} reads", put(ledger, sky, told, shelf.data)
-            ledger = on(who, kept)
-            if ledger.pending is None and ledger.commit_count < commits and mine < max_in_flight:
-                commit = ledger.propose(sum(shelf.taken))
+def _restore_document(writer: int, saved: WriterState, document_type: type) -> SharedDocument:
+    document = document_type(str(writer), 1)
+    document.revision, document.version, document.pending = saved.revision, saved.version, saved.pending
+    document.uncertain, document.commit_count = saved.uncertain, saved.commit_count
+    document._load(saved.data)
+    return document
+
+
+def document_model(
+    commits: int = 2, document_type: type = SharedDocument, max_in_flight: int = 2
+) -> Protocol:
+    """Two writers of `commits` each; any request or reply may be lost, late or duplicated."""
+
+    def transitions(state: tuple) -> Iterator[tuple[str, tuple]]:
+        stored, writers, in_flight = state
+        for writer, saved in enumerate(writers):
+
+            def successor(
+                document: SharedDocument,
+                in_flight: tuple,
+                outcome=None,
+                data=saved.data,
+                writer=writer,
+                saved=saved,
+            ) -> tuple:
+                keep_data = document.version == saved.version and saved.data is not None
+                committed = saved.committed + (outcome is CommitOutcome.COMMITTED)
+                new = _save_document(document, saved.data if keep_data else data, committed)
+                new_writers = tuple(new if i == writer else other for i, other in enumerate(writers))
+                return stored, new_writers, in_flight
+
+            own_in_flight = sum(flight.writer == writer for flight in in_flight)
+            document = _restore_document(writer, saved, document_type)
+            outcome = document.observe(stored.version, stored.version, stored.data)
+            yield f"{writer} reads", successor(document, in_flight, outcome, stored.data)
+            document = _restore_document(writer, saved, document_type)
+            may_send = own_in_flight < max_in_flight
+            if document.pending is None and document.commit_count < commits and may_send:
+                commit = document.propose(sum(stored.accepted))
                 if commit:
-                    yield f"{who} commits", put(ledger, (*sky, Flight(who, commit)))
-            elif ledger.pending is not None and not ledger.uncertain:
-                ledger.handle_unknown_outcome()
-                yield f"{who} hears nothing", put(ledger, sky)
-            elif (commit := ledger.commit_to_resend()) and mine < max_in_flight:
-                yield f"{who} sends it again", put(ledger, (*sky, Flight(who, commit)))
-        for i, f in enumerate(sky):
-            rest = sky[:i] + sky[i + 1 :]
-            yield f"what is on its way of {f.who} is lost", (shelf, writers, rest)
-            if f.answer is None:
-                won = f.commit.base_version == shelf.version
-                taken = tuple(n + (won and w == f.who) for w, n in enumerate(shelf.taken))
-                there = Shelf(shelf.version + 1, f.commit.data, taken) if won else shelf
-                back = f._replace(answer=(there.version, won, there.version, there.data))
-                yield f"the store meets {f.who}", (there, writers, (*rest, back))
-                yield f"the store meets {f.who}, and a copy goes on", (there, writers, (*sky, back)[:4])
+                    sent = (*in_flight, CommitInFlight(writer, commit))
+                    yield f"{writer} commits", successor(document, sent)
+            elif document.pending is not None and not document.uncertain:
+                document.handle_unknown_outcome()
+                yield f"{writer} receives no reply", successor(document, in_flight)
+            elif (commit := document.commit_to_resend()) and may_send:
+                sent = (*in_flight, CommitInFlight(writer, commit))
+                yield f"{writer} sends the commit again", successor(document, sent)
+        for i, flight in enumerate(in_flight):
+            others = in_flight[:i] + in_flight[i + 1 :]
+            writer = flight.writer
+            yield f"a message of {writer} is lost", (stored, writers, others)
+            if flight.reply is None:
+                won = flight.commit.base_version == stored.version
+                accepted = tuple(n + (won and w == writer) for w, n in enumerate(stored.accepted))
+                new = DocumentState(stored.version + 1, flight.commit.data, accepted) if won else stored
+                reply = flight._replace(reply=(new.version, won, new.version, new.data))
+                yield f"the store receives the commit of {writer}", (new, writers, (*others, reply))
+                yield (
+                    f"the store receives a duplicate of the commit of {writer}",
+                    (new, writers, (*in_flight, reply)[:4]),
+                )
                 continue
-            ledger = on(f.who, writers[f.who])
-            told = ledger.handle_reply(f.commit, *f.answer)
-            kept = writers[f.who]
-            data = f.answer[3] if ledger.version == f.answer[2] else kept[2]
-            now = off(ledger, data, kept[6] + (told is CommitOutcome.COMMITTED))
-            yield f"{f.who} hears", (
-                shelf, tuple(now if w == f.who else k for w, k in enumerate(writers)), rest
-            )  # fmt: skip
-
-    def true(state: dict) -> bool:
-        """Who has nothing out knows exactly how many of its commits were taken."""
+            saved = writers[writer]
+            document = _restore_document(writer, saved, document_type)
+            outcome = document.handle_reply(flight.commit, *flight.reply)
+            data = flight.reply[3] if document.version == flight.reply[2] else saved.data
+            committed = saved.committed + (outcome is CommitOutcome.COMMITTED)
+            new_writer = _save_document(document, data, committed)
+            new_writers = tuple(new_writer if w == writer else other for w, other in enumerate(writers))
+            yield f"{writer} receives the reply", (stored, new_writers, others)
+
+    def outcomes_are_correct(state: dict) -> bool:
+        """A writer without a pending commit knows exactly how many of its commits were accepted."""
         return all(
-            w[6] == n if w[3] is None else w[6] in (n, n - 1)
-            for w, n in zip(state["writers"], state["shelf"].taken, strict=True)
+            writer.committed == accepted
+            if writer.pending is None
+            else writer.committed in (accepted, accepted - 1)
+            for writer, accepted in zip(state["writers"], state["stored"].accepted, strict=True)
         )
 
-    start = (-1, 0, None, None, False, 0, 0)
     return Protocol(
-        name="settling",
+        name="document_model",
         candidate=False,
-        fields=("shelf", "writers", "sky"),
-        initial=(Shelf(), (start, start), ()),
-        transitions=lambda state: list(moves(state)),
-        invariants={"a commit that is told to be done was taken, and no other was": true},
-        goal=lambda state: state["shelf"].taken == (commits, commits),
+        fields=("stored", "writers", "in_flight"),
+        initial=(DocumentState(), (WriterState(), WriterState()), ()),
+        transitions=lambda state: list(transitions(state)),
+        invariants={"a commit reported as done was accepted, and no other was": outcomes_are_correct},
+        goal=lambda state: state["stored"].accepted == (commits, commits),
     )
 
 
-# Machines with a mistake, each with what must be found.
+# Variants with a seeded mistake, which the checker must find.
 
 
-class Skips(PrefixFollower):
-    """Watches from one revision too late."""
+class WatchesOneRevisionLate(PrefixFollower):
+    """Starts its watch one revision too late."""
 
     def start_watch(self):
-        turn, start = super().start_watch()
-        return turn, start + 1
+        watch_number, start = super().start_watch()
+        return watch_number, start + 1
 
 
-class Trusts(PrefixFollower):
-    """Believes a member that is behind."""
+class TrustsLaggingMember(PrefixFollower):
+    """Accepts a page from a member that is behind."""
 
     def handle_page(self, reply):
         self.highest_revision = 0
         return super().handle_page(reply)
 
 
-class GoesOn(PrefixFollower):
-    """Watches on from where the history begins, after a compaction."""
+class WatchesOnAfterCompaction(PrefixFollower):
+    """After a compaction, resumes the watch where the history begins instead of reading again."""
 
     def handle_watch(self, turn, reply):
-        told = super().handle_watch(turn, reply)
-        if told is MessageOutcome.COMPACTED:
+        outcome = super().handle_watch(turn, reply)
+        if outcome is MessageOutcome.COMPACTED:
             self.next_action, self.revision = NextAction.WATCH, max(self.revision, reply.compact_revision)
-        return told
+        return outcome
 
 
-class Halves(PrefixFollower):
-    """Takes what lies between two fragments for whole."""
+class AppliesPartOfFragments(PrefixFollower):
+    """Advances its revision after the first of several fragments."""
 
     def handle_watch(self, turn, reply):
-        told = super().handle_watch(turn, reply)
-        if told is MessageOutcome.PARTIAL:
+        outcome = super().handle_watch(turn, reply)
+        if outcome is MessageOutcome.PARTIAL:
             self.revision = max(self.revision, reply.header.revision)
-        return told
+        return outcome
 
 
-class TrustsLate(Membership):
-    """Counts a lease from when its answer came."""
+class CountsLeaseFromAnswer(Membership):
+    """Counts a lease from when its answer arrived, not from when its request was sent."""
 
     def lease_granted(self, sent, lease, ttl):
         super().lease_granted(0.0, lease, ttl)
@@ -469,36 +562,47 @@
         super().keepalive_answered(0.0, ttl)
 
 
-class Stretches(Membership):
-    """Takes a won claim for a renewal of its lease."""
+class ClaimRenewsLease(Membership):
+    """Treats a successful claim as a renewal of its lease."""
 
     def claim_answered(self, now, sent, won):
         super().claim_answered(now, sent, won)
-        self.trusted_until = max(self.trusted_until, sent + self.ttl - rules_of_leases.CLOCK_MARGIN_SECONDS)
+        self.trusted_until = max(self.trusted_until, sent + self.ttl - lease_rules.CLOCK_MARGIN_SECONDS)
 
 
-class GivesUp(SharedDocument):
-    """Takes a commit without an answer for one that was not taken."""
+class TreatsUnknownAsRejected(SharedDocument):
+    """Treats a commit without a reply as rejected."""
 
     def handle_unknown_outcome(self):
         self.pending, self.uncertain = None, False
 
 
-class Reads(SharedDocument):
-    """Takes a document that still has the version known for a proof that its commit never will be taken."""
+class TreatsUnchangedAsRejected(SharedDocument):
+    """Takes a document with an unchanged version as proof that its commit will never be accepted."""
 
     def observe(self, revision, version, data):
-        told = super().observe(revision, version, data)
-        if told is None and self.uncertain:
+        outcome = super().observe(revision, version, data)
+        if outcome is None and self.uncertain:
             self.pending, self.uncertain = None, False
-        return told
-
-
-FAULTY_VARIANTS = (Skips, Trusts, GoesOn, Halves, TrustsLate, Stretches, GivesUp, Reads)
-
-
-def faulty_model(mistake: type, ops: int = 3) -> Protocol:
-    """The world of a machine with that mistake."""
-    if issubclass(mistake, SharedDocument):
-        return document_model(ops, mistake)
-    return lease_model(mistake) if issubclass(mistake, Membership) else follower_model(ops, mistake)
+        return outcome
+
+
+FAULTY_VARIANTS = (
+    WatchesOneRevisionLate,
+    TrustsLaggingMember,
+    WatchesOnAfterCompaction,
+    AppliesPartOfFragments,
+    CountsLeaseFromAnswer,
+    ClaimRenewsLease,
+    TreatsUnknownAsRejected,
+    TreatsUnchangedAsRejected,
+)
+
+
+def faulty_model(variant: type, max_operations: int = 3) -> Protocol:
+    """The model that checks this variant."""
+    if issubclass(variant, SharedDocument):
+        return document_model(max_operations, variant)
+    if issubclass(variant, Membership):
+        return lease_model(variant)
+    return follower_model(max_operations, variant)
--- a/herongap/fleet/result_store.py
+++ b/herongap/fleet/result_store.py
@@ -1,4 +1,4 @@
-"""Results kept on disk, so that an experiment that was killed goes on where it was."""
+"""Results stored on disk, so that an experiment that was killed resumes where it stopped."""
 
 import json
 from pathlib import Path
@@ -8,22 +8,24 @@
 from herongap.errors import Unusable
 
 VERSION = b"herongap-experiment 1"
+MAP_SIZE_BYTES = 1 << 32
 
 
 class ResultStoreError(Unusable):
-    """A file that is no store of results of this version."""
+    """The file is not a result store of this version."""
 
-    advice = "name another file, or remove it: results are then made anew"
+    advice = "name another file, or remove this one to compute the results again"
 
 
 class ResultStore:
-    """One result for each arm and seed, in an lmdb file; each is written in a transaction of its own."""
+    """One result for each arm and seed, in an lmdb file; each is written in its own transaction."""
 
     def __init__(self, path: Path):
-        """Open or make the store at `path`; raises ValueError if it is another program's, or of another
-        version.
+        """Open or create the store at `path`.
+
+        Raises `ResultStoreError`, a ValueError, if the file belongs to another program or version.
         """
-        self.env = lmdb.open(str(path), subdir=False, map_size=1 << 32, lock=True)
+        self.env = lmdb.open(str(path), subdir=False, map_size=MAP_SIZE_BYTES, lock=True)
         with self.env.begin(write=True) as txn:
             found = txn.get(b"version")
             if found is None and txn.stat()["entries"] == 0:
@@ -32,11 +34,13 @@
                 raise ResultStoreError(f"{path} is no store of {VERSION.decode()}")
 
     def get(self, digest: str, seed: int) -> dict | None:
+        """The result of the arm with this digest for a seed; None if there is none yet."""
         with self.env.begin() as txn:
             found = txn.get(f"{digest}/{seed}".encode())
         return None if found is None else json.loads(found)
 
     def put(self, digest: str, seed: int, result: dict) -> None:
+        """Store the result of the arm with this digest for a seed."""
         with self.env.begin(write=True) as txn:
             txn.put(f"{digest}/{seed}".encode(), json.dumps(result).encode())
 
