--- a/herongap/fleet/protocol_models.py
+++ b/herongap/fleet/protocol_models.py
@@ -480,7 +480,7 @@
                 reply = flight._replace(reply=(new.version, won, new.version, new.data))
                 yield f"the store receives the commit of {writer}", (new, writers, (*others, reply))
                 yield (
-                    f"the store receives a duplicate of the commit of {writer}",
+                    f"the store receives the commit of {writer}; a duplicate stays in flight",
                     (new, writers, (*in_flight, reply)[:4]),
                 )
                 continue
