--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,6 +1,7 @@
 """Gossip membership without I/O, in virtual time: record merging, failure detection, pauses, partitions."""
 
 import random
+from functools import partial
 
 import msgspec
 import pytest
@@ -121,16 +122,18 @@
     return simulation
 
 
+def all_see_all_alive(simulation, size):
+    return all(simulation.all_see(number, MemberStatus.ALIVE) for number in range(size))
+
+
 @pytest.mark.parametrize("loss_rate", [0.0, 0.05, 0.2])
 def test_all_detect_a_dead_member_and_declare_no_live_one_gone(loss_rate):
     for seed in (1, 2):
         simulation = running_simulation(30, seed, warm_up=25.0, loss_rate=loss_rate)
         assert all(len(m.gossip.members.records) == 30 for m in simulation.members.values())
         simulation.kill(3)
-        assert (
-            simulation.run_until(lambda simulation=simulation: simulation.all_see(3, MemberStatus.GONE), 20)
-            < 8
-        )
+        detected = partial(simulation.all_see, 3, MemberStatus.GONE)
+        assert simulation.run_until(detected, 20) < 8
         simulation.run(simulation.clock.now + 40)
         alive = [x for x in simulation.members if x != 3]
         assert all(
@@ -148,10 +151,9 @@
     simulation = running_simulation(9)
     simulation.is_blocked = lambda a, b: (a, b) == (1, 2)
     simulation.run(60)
-    assert all(simulation.all_see(x, MemberStatus.ALIVE) for x in range(9))
-    assert simulation.members[2].gossip.unheard(60.0) == [1] and simulation.members[1].gossip.unheard_by(
-        60.0
-    ) == [2]
+    assert all_see_all_alive(simulation, 9)
+    sender, receiver = simulation.members[1].gossip, simulation.members[2].gossip
+    assert receiver.unheard(60.0) == [1] and sender.unheard_by(60.0) == [2]
     refutations = [m.gossip.members.own.refutations for m in simulation.members.values()]
     assert max(refutations) <= 2, "a one-way link must not cause repeated suspicions"
 
@@ -182,15 +184,7 @@
         simulation.is_blocked = lambda a, b: False
         simulation.run(simulation.clock.now + 20)
         declared_gone += simulation.members[5].gossip.counts["gone"]
-        assert (
-            simulation.run_until(
-                lambda simulation=simulation: all(
-                    simulation.all_see(x, MemberStatus.ALIVE) for x in range(12)
-                ),
-                30,
-            )
-            < 30
-        )
+        assert simulation.run_until(partial(all_see_all_alive, simulation, 12), 30) < 30
     assert declared_gone == 0 if detects_pauses else declared_gone > 3
 
 
@@ -213,10 +207,7 @@
     simulation.run(30)
     assert simulation.status_at(8, 1) in (None, MemberStatus.GONE)
     simulation.is_blocked = lambda a, b: False
-    assert (
-        simulation.run_until(lambda: all(simulation.all_see(x, MemberStatus.ALIVE) for x in range(12)), 90)
-        < 90
-    )
+    assert simulation.run_until(partial(all_see_all_alive, simulation, 12), 90) < 90
     late = simulation.start(40, 1)
     late.gossip.set_seeds([("10.0.0.1", 10007)])
     assert simulation.run_until(lambda: simulation.all_see(40, MemberStatus.ALIVE), 30) < 30
