--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -10,7 +10,7 @@
 from statistics import mean, stdev
 
 from herongap.accord import BudgetKind, BudgetShare, BudgetTerms
-from herongap.fleet.settling import Net, World
+from herongap.fleet.budget_simulation import BudgetSimulation, NetworkConditions
 
 HELD = BudgetTerms("held", BudgetKind.HELD, 80, floor=1, linger=16.0)
 PARTS = (("steady", 10, 30), ("a crowd moved", 30, 40), ("moved for 10 s", 40, 50), ("half killed", 50, 60))
@@ -31,38 +31,47 @@
         return 0
 
 
-def global_knowledge(worlds: list[World], name: str) -> type:
+def global_knowledge(simulations: list[BudgetSimulation], name: str) -> type:
     """Returns a class that admits whatever the fleet budget allows.
 
-    `worlds` has the world by the time that the class is used.
+    `simulations` has the simulation by the time that the class is used.
     """
 
     class GlobalKnowledge(FixedShare):
         def room(self, now):
-            return self.terms.limit - len(worlds[0].held[name])
+            return self.terms.limit - len(simulations[0].held[name])
 
     return GlobalKnowledge
 
 
 def day(seed: int, make, numbers: int = 8) -> list[int]:
     """Returns the number of admissions in each part of a day."""
-    admitted, worlds = [], []
-    make = global_knowledge(worlds, "held") if make is None else make
+    admitted, simulations = [], []
+    make = global_knowledge(simulations, "held") if make is None else make
     rate = 0.9 * HELD.limit / 4.0
-    world = World(seed, numbers, (HELD,), Net(0.004), demand=rate / numbers, lasts=4.0, make=make, waits=0.3)
-    worlds.append(world)
+    simulation = BudgetSimulation(
+        seed,
+        numbers,
+        (HELD,),
+        NetworkConditions(0.004),
+        demand=rate / numbers,
+        mean_hold_seconds=4.0,
+        share_type=make,
+        max_wait_seconds=0.3,
+    )
+    simulations.append(simulation)
     for _, begin, end in PARTS:
-        world.run(begin)
+        simulation.run(begin)
         if begin == 30:
-            world.demand = dict.fromkeys(world.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
+            simulation.demand = dict.fromkeys(simulation.demand, 0.4 * rate / (numbers - 1)) | {2: 0.6 * rate}
         if begin == 50:
             for n in range(numbers // 2, numbers):
-                world.kill(n)
-            world.demand = dict.fromkeys(world.demand, rate / (numbers // 2))
-        before = world.let_in
-        world.run(end)
-        admitted.append(world.let_in - before)
-    assert make is not BudgetShare or not world.broken, world.broken[:3]
+                simulation.kill(n)
+            simulation.demand = dict.fromkeys(simulation.demand, rate / (numbers // 2))
+        before = simulation.admitted
+        simulation.run(end)
+        admitted.append(simulation.admitted - before)
+    assert make is not BudgetShare or not simulation.violations, simulation.violations[:3]
     return admitted
 
 
@@ -82,22 +91,30 @@
     """Prints writes and lost races at the store, by number of controllers."""
     for numbers in (8, 50, 100):
         terms = HELD._replace(limit=10 * numbers)
-        world = World(1, numbers, (terms,), Net(0.004), demand=10 * 0.9 / 4.0, lasts=4.0, waits=0.3)
-        world.run(10.0)
+        simulation = BudgetSimulation(
+            1,
+            numbers,
+            (terms,),
+            NetworkConditions(0.004),
+            demand=10 * 0.9 / 4.0,
+            mean_hold_seconds=4.0,
+            max_wait_seconds=0.3,
+        )
+        simulation.run(10.0)
         results = []
         for crowd in (False, True):
             if crowd:
-                world.demand[2] = 0.2 * 10 * numbers / 4.0
-            before = world.store.writes, world.store.refused
-            world.run(world.now + 10.0)
+                simulation.demand[2] = 0.2 * 10 * numbers / 4.0
+            before = simulation.store.writes, simulation.store.conflicts
+            simulation.run(simulation.now + 10.0)
             writes, refused = ((now - was) / 10 for now, was in zip(
-                (world.store.writes, world.store.refused), before, strict=True))  # fmt: skip
+                (simulation.store.writes, simulation.store.conflicts), before, strict=True))  # fmt: skip
             results.append(
                 f"{writes:6.1f} writes {refused:6.1f} lost races {writes * numbers:8.0f} events a second"
             )
-        size = len(world.store.documents["held"][1])
+        size = len(simulation.store.documents["held"][1])
         print(f"{numbers:4} controllers, {size:6} bytes: steady {results[0]}; a crowd {results[1]}")
-        assert not world.broken, world.broken[:3]
+        assert not simulation.violations, simulation.violations[:3]
 
 
 if __name__ == "__main__":
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -27,7 +27,7 @@
 from herongap import observe
 from herongap.daemon.etcd import StreamerRegistry
 from herongap.daemon.run import Daemon
-from herongap.fleet import worlds
+from herongap.fleet import protocol_models
 from herongap.ini import read_site_config
 from herongap.ini.sections import EtcdSection as EtcdConfig
 from herongap.rehearsal.stage import PREFIX
@@ -323,7 +323,11 @@
 def states(changes: int = 3) -> int:
     """Explores the worlds with `minicheck`; returns 1 if a property fails or a mistake is not found."""
     failures = 0
-    for world in (worlds.following(2), worlds.following(changes), worlds.leasing()):
+    for world in (
+        protocol_models.follower_model(2),
+        protocol_models.follower_model(changes),
+        protocol_models.lease_model(),
+    ):
         began = time.monotonic()
         transition_count = [0]
 
@@ -342,11 +346,11 @@
             holds=holds,
             seconds=round(time.monotonic() - began, 1),
         )
-    live = check_liveness(worlds.following(2))["holds"]
+    live = check_liveness(protocol_models.follower_model(2))["holds"]
     failures += live is not True
     report(world="following", from_every_state_it_can_catch_up=live)
-    for mistake in worlds.MISTAKES:
-        properties = check_safety(worlds.broken(mistake, 2))["properties"]
+    for mistake in protocol_models.FAULTY_VARIANTS:
+        properties = check_safety(protocol_models.faulty_model(mistake, 2))["properties"]
         counterexamples = {n: p["counterexample"] for n, p in properties.items() if p["holds"] is False}
         failures += not counterexamples
         steps = min(map(len, counterexamples.values()), default=0) - 1
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -13,7 +13,7 @@
 from random import Random
 from statistics import mean, quantiles, stdev
 
-from herongap.fleet.gossiping import Net
+from herongap.fleet.gossip_simulation import GossipSimulation
 from herongap.gossip import GossipConfig, MemberStatus
 
 PLAIN = GossipConfig(max_health=0, max_suspicion_factor=1.0, confirmations=0, detects_pauses=False)
@@ -25,11 +25,11 @@
 class FalsePositives:
     """Counts running members that another running member newly declares gone."""
 
-    def __init__(self, net: Net):
-        self.net, self.count, self.counted = net, 0, set()
+    def __init__(self, simulation: GossipSimulation):
+        self.simulation, self.count, self.counted = simulation, 0, set()
 
     def update(self, stopped: dict[int, float]) -> None:
-        now, members = self.net.clock.now, self.net.members
+        now, members = self.simulation.clock.now, self.simulation.members
         for m in members.values():
             if m.dead or not m.running:
                 continue
@@ -44,26 +44,33 @@
 
 def play(size: int, seed: int, lost: float, terms: GossipConfig) -> tuple[list[float], float, float, float]:
     """Returns the detection times of deaths, false positives an hour, and bytes and datagrams a second."""
-    net, chance, ended = Net(size, seed, terms, lost), Random(seed), {}
-    net.run(30)
-    false_positives, sent, sent_bytes = FalsePositives(net), net.total("sent"), net.total("bytes")
+    simulation, chance, ended = GossipSimulation(size, seed, terms, lost), Random(seed), {}
+    simulation.run(30)
+    false_positives, sent, sent_bytes = (
+        FalsePositives(simulation),
+        simulation.total_count("sent"),
+        simulation.total_count("bytes"),
+    )
     for number in chance.sample(range(size), max(1, size // 10)):
         for _ in range(2):
             at, lasts = 30 + chance.uniform(0, 45), chance.uniform(0.3, 7)
-            net.clock.at(at, net.members[number].stop, lasts)
+            simulation.clock.at(at, simulation.members[number].pause, lasts)
             ended[number] = max(ended.get(number, 0.0), at + lasts)
-    while net.clock.now < 90:
-        net.run(net.clock.now + 0.2)
+    while simulation.clock.now < 90:
+        simulation.run(simulation.clock.now + 0.2)
         false_positives.update(ended)
-    rate = [(net.total(name) - was) / 60 / size for name, was in (("sent", sent), ("bytes", sent_bytes))]
+    rate = [
+        (simulation.total_count(name) - was) / 60 / size
+        for name, was in (("sent", sent), ("bytes", sent_bytes))
+    ]
     found = []
     for number in chance.sample(range(size), 3):
-        net.kill(number)
-        began, unaware = net.clock.now, {m.number for m in net.members.values() if not m.dead}
-        while unaware and net.clock.now < began + UNDETECTED_SECONDS:
-            net.run(net.clock.now + 0.1)
-            aware = {n for n in unaware if net.standing(number, n) == MemberStatus.GONE}
-            found += [net.clock.now - began] * len(aware)
+        simulation.kill(number)
+        began, unaware = simulation.clock.now, {m.number for m in simulation.members.values() if not m.dead}
+        while unaware and simulation.clock.now < began + UNDETECTED_SECONDS:
+            simulation.run(simulation.clock.now + 0.1)
+            aware = {n for n in unaware if simulation.status_at(number, n) == MemberStatus.GONE}
+            found += [simulation.clock.now - began] * len(aware)
             unaware -= aware
         found += [UNDETECTED_SECONDS] * len(unaware)
     return found, false_positives.count / (size * 60 / 3600), rate[1], rate[0]
--- a/herongap/cli/experiment.py
+++ b/herongap/cli/experiment.py
@@ -30,10 +30,10 @@
 
 def _open(file: Path, store: Path | None):
     from herongap.fleet.experiment import read_experiment
-    from herongap.fleet.store import Store
+    from herongap.fleet.result_store import ResultStore
 
     try:
-        return read_experiment(file), Store(store or file.with_suffix(".results"))
+        return read_experiment(file), ResultStore(store or file.with_suffix(".results"))
     except (ConfigFileError, ValueError) as error:
         raise command_failure(error) from error
 
--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -111,7 +111,7 @@
         return None
 
     def request_budget(self, budget: str) -> None:
-        """Fleet budgets are not modelled here; `fleet/settling.py` models them."""
+        """Fleet budgets are not modelled here; `fleet/budget_simulation.py` models them."""
 
     def wake(self, at: float) -> None:
         self.wake_generation += 1
--- a/herongap/fleet/runner.py
+++ b/herongap/fleet/runner.py
@@ -7,14 +7,17 @@
 
 from herongap.fleet.compare import days_needed
 from herongap.fleet.experiment import Arm, Experiment, run_job
-from herongap.fleet.store import Store
+from herongap.fleet.result_store import ResultStore
 
 # Times that the workers are started before the death of one ends the experiment.
 MAX_ATTEMPTS = 5
 
 
 def run(
-    experiment: Experiment, store: Store, workers: int, progress: Callable[[int, int], None] | None = None
+    experiment: Experiment,
+    store: ResultStore,
+    workers: int,
+    progress: Callable[[int, int], None] | None = None,
 ) -> dict[str, list[dict]]:
     """All results by arm, in the order of seeds; the same for any number of workers and after interruptions.
 
@@ -32,7 +35,7 @@
     return results
 
 
-def _fill(arms: tuple[Arm, ...], seeds: range, store: Store, workers: int, progress) -> None:
+def _fill(arms: tuple[Arm, ...], seeds: range, store: ResultStore, workers: int, progress) -> None:
     """Runs the jobs whose results are not in the store yet."""
     digests = {arm.name: arm.digest() for arm in arms}
     all_jobs = [(arm, seed) for seed in seeds for arm in arms]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 from herongap.fleet.links import max_min_rates, proportional_share
 from herongap.fleet.machine import Machine, MachineProfile, Rack, Session
 from herongap.fleet.model import Model, SimulatedViewer
-from herongap.fleet.store import Store
+from herongap.fleet.result_store import ResultStore
 from herongap.host import Recorder
 from herongap.ini import ConfigFileError, parse_site_config
 
@@ -191,7 +191,7 @@
 
 def test_results_do_not_depend_on_the_number_of_workers_or_a_killed_worker(tmp_path):
     plan_and_arms = experiment(tmp_path, least=4, half=0.5)
-    first_store, second_store = Store(tmp_path / "1"), Store(tmp_path / "2")
+    first_store, second_store = ResultStore(tmp_path / "1"), ResultStore(tmp_path / "2")
     expected = runner.run(plan_and_arms, first_store, 1)
     killed = []
 
@@ -270,16 +270,16 @@
     plan_and_arms = experiment(tmp_path)
     a, b = plan_and_arms.arms
     assert a.digest() != b.digest() and a.digest() == a._replace(name="z").digest()
-    store = Store(tmp_path / "s")
+    store = ResultStore(tmp_path / "s")
     store.put(a.digest(), 1, {"service": 0.5})
     store.close()
-    store = Store(tmp_path / "s")
+    store = ResultStore(tmp_path / "s")
     assert store.get(a.digest(), 1) == {"service": 0.5} and store.get(b.digest(), 1) is None
     with store.env.begin(write=True) as txn:
         txn.put(b"version", b"another")
     store.close()
     with pytest.raises(ValueError, match="no store"):
-        Store(tmp_path / "s")
+        ResultStore(tmp_path / "s")
 
 
 def test_fit_recovers_the_parameters_of_a_record(tmp_path, bad_day):
