--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -165,7 +165,7 @@
                 if number not in self.day.late_joiners:
                     self._start_controller(number)
             self.began = time.monotonic()
-            running = [gevent.spawn(self._follow_orders)]
+            running = [gevent.spawn(self._run_steps)]
             for arrival in self.script.arrivals:
                 self._sleep_until(arrival.at)
                 running.append(gevent.spawn(self._run_viewer, arrival))
@@ -186,39 +186,39 @@
 
     # Faults of the script.
 
-    def _follow_orders(self) -> None:
-        for order in self.script.steps:
-            self._sleep_until(order.at)
-            self._carry_out(order)
-
-    def _carry_out(self, order: TroubleStep) -> None:
-        self.log("stage", order.target, **order.command)
-        if order.target == "farm":
-            self.actors.order(order.command)
-        elif order.target == "list_late":
-            self.list_delay = order.command["by"]
-        elif order.target == "list":
+    def _run_steps(self) -> None:
+        for step in self.script.steps:
+            self._sleep_until(step.at)
+            self._run_step(step)
+
+    def _run_step(self, step: TroubleStep) -> None:
+        self.log("stage", step.target, **step.command)
+        if step.target == "farm":
+            self.actors.order(step.command)
+        elif step.target == "list_late":
+            self.list_delay = step.command["by"]
+        elif step.target == "list":
             now = time.monotonic()
-            gevent.spawn_later(self.list_delay, self._change_list, order.command, now)
-        elif order.target == "etcd":
-            self._disturb_etcd(order.command)
-        elif order.target == "relays":
-            self._disturb_relays(order.command)
-        elif order.target == "members":
-            self._disturb_members(order.command)
+            gevent.spawn_later(self.list_delay, self._change_list, step.command, now)
+        elif step.target == "etcd":
+            self._command_etcd(step.command)
+        elif step.target == "relays":
+            self._command_relays(step.command)
+        elif step.target == "members":
+            self._command_members(step.command)
         else:
-            for number in order.command["on"]:
-                self._disturb_controller(number, order.command)
+            for number in step.command["on"]:
+                self._command_controller(number, step.command)
 
-    def _disturb_controller(self, number: int, what: dict) -> None:
+    def _command_controller(self, number: int, command: dict) -> None:
         address = self.controllers.get(number)
-        if what["do"] == "start":
+        if command["do"] == "start":
             if not address:
                 self._start_controller(number)
             return
         if not address:
             return  # another fault has ended it
-        match what["do"]:
+        match command["do"]:
             case "kill":
                 self.log("stage", "killed", front=number)
                 self.controllers[number] = None
@@ -239,30 +239,30 @@
                     self.actors.signal_controller(number, signal.SIGCONT)
                     self.log("stage", "went on", front=number)
             case "clock":
-                self.actors.set_clock(number, {k: v for k, v in what.items() if k in ("rate", "step")})
+                self.actors.set_clock(number, {k: v for k, v in command.items() if k in ("rate", "step")})
 
-    def _disturb_relays(self, what: dict) -> None:
+    def _command_relays(self, command: dict) -> None:
         for (number, _), relay in self.relays.items():
-            if number in what["on"]:
-                if what["do"] == "begin":
-                    relay.begin(what["trouble"], what["by"])
+            if number in command["on"]:
+                if command["do"] == "begin":
+                    relay.begin(command["trouble"], command["by"])
                 else:
-                    relay.end(what["trouble"])
+                    relay.end(command["trouble"])
 
-    def _disturb_members(self, what: dict) -> None:
-        if what["do"] == "elect":
-            self.etcd.elect(what["by"])
+    def _command_members(self, command: dict) -> None:
+        if command["do"] == "elect":
+            self.etcd.elect(command["by"])
             return
-        for member in (self.etcd.members[number] for number in what["on"]):
-            if what["trouble"] == "minority":
-                member.partition(what["do"] == "begin")
+        for member in (self.etcd.members[number] for number in command["on"]):
+            if command["trouble"] == "minority":
+                member.partition(command["do"] == "begin")
             else:
-                (member.stop if what["do"] == "begin" else member.start)()
+                (member.stop if command["do"] == "begin" else member.start)()
 
-    def _change_list(self, what: dict, at: float) -> None:
-        self.listing.apply(what, at + self.wall_offset)
+    def _change_list(self, command: dict, at: float) -> None:
+        self.listing.apply(command, at + self.wall_offset)
         if self.etcd:
-            self._put_list(what)
+            self._put_list(command)
         else:
             self._write_list()
 
@@ -271,12 +271,12 @@
         value = {key: self.entries[name][key] for key in ("url", "zone", "rack")}
         return value | ({} if started is None else {"started": started})
 
-    def _put_list(self, what: dict) -> None:
+    def _put_list(self, command: dict) -> None:
         """Puts and deletes keys as the streamers and their operators do."""
         history = self.etcd.history
-        for name in what["on"]:
+        for name in command["on"]:
             streamer, drain = f"{PREFIX}streamers/{name}", f"{PREFIX}drains/{name}"
-            match what["standing"]:
+            match command["standing"]:
                 case "started":
                     # A new process creates its key again, which ends the drain of the previous one.
                     history.delete(streamer.encode(), drain.encode())
@@ -291,12 +291,12 @@
                     put(history, streamer, v=1, **self._streamer_value(name))
         self._log_list()
 
-    def _disturb_etcd(self, what: dict) -> None:
+    def _command_etcd(self, command: dict) -> None:
         if self.etcd is None:
             raise RehearsalError("a fault of etcd requires list_by = etcd")
-        match what["do"]:
+        match command["do"]:
             case "cut":
-                if what["compact"]:
+                if command["compact"]:
                     self.etcd.history.compact()
                 self.etcd.cut()
             case "stop":
@@ -306,10 +306,10 @@
                 for member in self.etcd.members:
                     member.start()
             case "whole":
-                for name in what["names"]:
-                    self._set_limit(name, round(what["times"] * self.day.budgets[name].whole))
+                for name in command["names"]:
+                    self._set_limit(name, round(command["times"] * self.day.budgets[name].whole))
             case "forgotten":
-                self.etcd.history.delete(*(f"{PREFIX}budgets/{name}".encode() for name in what["names"]))
+                self.etcd.history.delete(*(f"{PREFIX}budgets/{name}".encode() for name in command["names"]))
 
     def _set_limit(self, name: str, limit: int) -> None:
         key = f"{PREFIX}budgets/{name}".encode()
