--- a/herongap/rules/placement.py
+++ b/herongap/rules/placement.py
@@ -25,12 +25,17 @@
 STALL_PENALTY = 370  # score that a second of full stall costs
 KBIT_PER_SCORE = 20  # rate, in kbit a second, that earns one point of score each second
 FLOOD_FILL_PART = 0.5  # part of links and places that a flood may fill
-MAX_COME_BACK_SECONDS = 0.5
+MAX_COME_BACK_SECONDS = 0.5  # longest time after which a blocked viewer is told to retry
 MIN_TIME_LEFT_SECONDS = 0.05  # a viewer with less time left is answered at once
 
 
 class QualityTable:
-    """The quality that recent viewings got, by package and streamer."""
+    """The quality that recent viewings got, by package and streamer.
+
+    `ranks` has the mean score by package and streamer, by package and zone, and by package alone (None).
+    `fill` is the number of recent viewings of a package for each streamer, `last_chosen` the streamer that
+    its round robin chose last.
+    """
 
     def __init__(self, state: ControllerState, now: float):
         self.state, self.refresh_at = state, now
@@ -44,36 +49,39 @@
         Round robin for cells with few viewings, and for a share of all set-ups.
         """
         state, name = self.state, viewing.package.name
-        # With few viewings in all, no cell has enough of them: then the average of the zone counts, as the
+        # With few viewings in all, no cell has enough of them. Then the average of the zone counts, as the
         # k-nearest-neighbours search of the paper behind this design takes neighbours at a greater distance,
-        # and only rows that can fill are seeded.
+        # and round robin beyond SEED is left to packages with enough viewings to fill the cells of their row.
         score = {
-            st: self.ranks.get(
-                (name, st.entry.streamer),
-                self.ranks.get((name, st.entry.zone), self.ranks.get((name, None), 0.0)),
+            streamer: self.ranks.get(
+                (name, streamer.entry.streamer),
+                self.ranks.get((name, streamer.entry.zone), self.ranks.get((name, None), 0.0)),
             )
-            for st in room
+            for streamer in room
         }
         best = max(score.values())
-        tied = [st for st in room if score[st] >= best - TIE_PART * abs(best)]
-        near = {st: st.entry.zone == state.zone for st in room}
+        tied = [streamer for streamer in room if score[streamer] >= best - TIE_PART * abs(best)]
+        near = {streamer: streamer.entry.zone == state.zone for streamer in room}
         chosen = min(
             tied,
-            key=lambda st: (
-                state.utilization(now, st) - OTHER_ZONE_UTILIZATION * near[st],
+            key=lambda streamer: (
+                state.utilization(now, streamer) - OTHER_ZONE_UTILIZATION * near[streamer],
                 state.random_fraction(),
             ),
         )
         if state.random_fraction() < max(
             SEED, ((name, chosen.entry.streamer) not in self.ranks) * self.fill[name]
         ):
-            # Other zones are seeded only if this one has no room: traffic across zones costs, and breaks when
-            # a zone is cut off.
-            room = sorted([st for st in room if near[st]] or room, key=lambda st: st.entry.streamer)
-            # Each controller starts its round elsewhere: with few viewings each, all would seed the same
-            # lowest ids.
+            # Other zones get round-robin viewings only if this one has no room: traffic across zones is
+            # expensive, and breaks when a zone is cut off.
+            room = sorted(
+                [streamer for streamer in room if near[streamer]] or room,
+                key=lambda streamer: streamer.entry.streamer,
+            )
+            # Each controller starts its round at a random streamer. Otherwise, with few viewings each, all
+            # of them would choose the same lowest ids.
             last = self.last_chosen.get(name, room[int(state.random_fraction() * len(room))].entry.streamer)
-            chosen = next((st for st in room if st.entry.streamer > last), room[0])
+            chosen = next((streamer for streamer in room if streamer.entry.streamer > last), room[0])
             self.last_chosen[name] = chosen.entry.streamer
         return chosen
 
@@ -105,8 +113,8 @@
             del self.cells[key]
         pooled = defaultdict(lambda: [0.0, 0.0, 0.0])
         for (name, streamer_id), cell in self.cells.items():
-            for near in (streamer_id, streamer_id in streamers and streamers[streamer_id].entry.zone, None):
-                pooled[name, near][:] = map(sum, zip(pooled[name, near], cell, strict=True))
+            for scope in (streamer_id, streamer_id in streamers and streamers[streamer_id].entry.zone, None):
+                pooled[name, scope][:] = map(sum, zip(pooled[name, scope], cell, strict=True))
         self.ranks = {key: c[2] / c[1] for key, c in pooled.items() if c[0] >= MIN_CELL_VIEWINGS and c[1] > 0}
         self.fill = {name: pooled[name, None][0] / max(1, len(streamers)) for name in self.state.packages}
 
@@ -130,60 +138,64 @@
         )
         self.state, self.can_probe, self.probing = quality_table.state, config.probes, set()
         self.come_back = min(config.come_back, MAX_COME_BACK_SECONDS)
-        self.due: list[tuple] = []  # when a waiting viewing is to be looked at again: (at, what, viewing)
+        self.due: list[tuple] = []  # when to retry a waiting viewing: (time, kind, viewing id)
 
     def place(self, now: float, viewing: Viewing) -> bool:
         """Sends a waiting viewing to the best holder with room or gives it up; False if it still waits."""
         state, admission, slow_start, package = self.state, self.admission, self.slow_start, viewing.package
         holders = [
-            st
-            for st in state.streamers.values()
-            if st.entry.holder_id in viewing.request.holders
-            and st.entry.streamer not in viewing.tried
-            and admission.may_repeat_at(now, viewing, st)
+            streamer
+            for streamer in state.streamers.values()
+            if streamer.entry.holder_id in viewing.request.holders
+            and streamer.entry.streamer not in viewing.tried
+            and admission.may_repeat_at(now, viewing, streamer)
         ]
         spent = viewing.tries >= state.tune_ins or (viewing.tries and not holders)
         if spent or viewing.top < package.floor or viewing.deadline - now < MIN_TIME_LEFT_SECONDS:
             return self.give_up(viewing)  # waiting would not help: the viewer had better retry
-        seated = package.seats and package.seats <= state.seated[package.name, viewing.request.title]
+        seats_taken = package.seats and package.seats <= state.seated[package.name, viewing.request.title]
         if (
-            seated
+            seats_taken
             or (viewing.tries and not admission.may_repeat(now))
             or not admission.within(viewing, False)
         ):
             return False
         ready = [
-            st
-            for st in holders
-            if st.entry.status is StreamerStatus.ACTIVE
-            and slow_start.may_send(now, st)
-            and len(st.viewings) < state.places.get(st.entry.kind, 1 << 30)
-            and (not slow_start.is_cold(now, st) or admission.within(viewing, True))
+            streamer
+            for streamer in holders
+            if streamer.entry.status is StreamerStatus.ACTIVE
+            and slow_start.may_send(now, streamer)
+            and len(streamer.viewings) < state.places.get(streamer.entry.kind, 1 << 30)
+            and (not slow_start.is_cold(now, streamer) or admission.within(viewing, True))
         ]
-        # If all streamers lose answers, all are set aside: then one with a load report since is better than
-        # none.
-        ready = [st for st in ready if st.set_aside_until <= now] or [
-            st for st in ready if st.link.reported_at > st.set_aside_until - SET_ASIDE_SECONDS
+        # If all streamers lose answers, all are set aside. Then one that has reported its load since it was
+        # set aside is better than none.
+        ready = [streamer for streamer in ready if streamer.set_aside_until <= now] or [
+            streamer
+            for streamer in ready
+            if streamer.link.reported_at > streamer.set_aside_until - SET_ASIDE_SECONDS
         ]
         if viewing.is_flood:
             ready = [
-                st
-                for st in ready
-                if state.utilization(now, st, package.rates[package.floor]) <= FLOOD_FILL_PART
-                and len(st.viewings)
-                < FLOOD_FILL_PART * state.places.get(st.entry.kind, 1) / state.controllers
+                streamer
+                for streamer in ready
+                if state.utilization(now, streamer, package.rates[package.floor]) <= FLOOD_FILL_PART
+                and len(streamer.viewings)
+                < FLOOD_FILL_PART * state.places.get(streamer.entry.kind, 1) / state.controllers
             ]
         if viewing.probed in self.probing or (viewing.probed is None and self.probe(now, viewing, ready)):
             return False
         for rung in range(package.floor if viewing.is_flood else viewing.top, package.floor - 1, -1):
-            more = package.rates[rung] * (
+            required_rate = package.rates[rung] * (
                 1 + self.rung_control.margin(package, rung) if rung > package.floor else 1
             )
-            room = [st for st in ready if state.utilization(now, st, more) <= MARK]
+            room = [streamer for streamer in ready if state.utilization(now, streamer, required_rate) <= MARK]
             if room:
                 return self.send(now, viewing, self.quality_table.pick(now, viewing, room), rung)
         emptiest = min(
-            ready, key=lambda st: (state.utilization(now, st), state.random_fraction()), default=None
+            ready,
+            key=lambda streamer: (state.utilization(now, streamer), state.random_fraction()),
+            default=None,
         )
         if (
             fits := emptiest is not None
@@ -191,31 +203,34 @@
         ):
             self.send(now, viewing, emptiest, package.floor)
         elif viewing.slot_due_at <= now and state.rank is not None:
-            # A slot lasts for milliseconds: a viewing that is not woken for it would hardly ever meet one.
+            # A slot lasts for milliseconds: without a wake-up shortly after its start, a waiting viewing
+            # would hardly ever be placed in one.
             due = [
-                (slow_start.next_slot(now, st) + 0.1) * slow_start.slot_seconds
-                for st in holders
-                if slow_start.is_cold(now, st) and st.entry.status is StreamerStatus.ACTIVE
+                (slow_start.next_slot(now, streamer) + 0.1) * slow_start.slot_seconds
+                for streamer in holders
+                if slow_start.is_cold(now, streamer) and streamer.entry.status is StreamerStatus.ACTIVE
             ]
-            last = min(
+            latest = min(
                 viewing.join_deadline - (0.0 if viewing.tries else FIRST_TUNE_IN_PART * package.join_target),
                 viewing.deadline - MIN_TIME_LEFT_SECONDS,
             )
-            if due := [at for at in due if now < at < last]:
+            if due := [at for at in due if now < at < latest]:
                 viewing.slot_due_at = min(due)
                 heappush(self.due, (viewing.slot_due_at, "turn", viewing.id))
         return fits
 
     def probe(self, now: float, viewing: Viewing, ready: list[Streamer]) -> bool:
         """Probes a holder without a recent report: a controller with few viewings gets hardly any reports."""
-        if unreported := self.can_probe and [st for st in ready if now - st.link.reported_at > 1]:
+        if unreported := self.can_probe and [
+            streamer for streamer in ready if now - streamer.link.reported_at > 1
+        ]:
             viewing.probed = unreported[int(self.state.random_fraction() * len(unreported))].entry.streamer
             self.probing.add(viewing.probed)
             self.state.decisions.append(("probe", viewing.probed))
         return bool(unreported)
 
     def send(self, now: float, viewing: Viewing, streamer: Streamer, rung: int) -> bool:
-        """Decides on a tune-in."""
+        """Assigns a waiting viewing to a streamer and decides on the tune-in; always True."""
         state, admission = self.state, self.admission
         del state.waiting[viewing.id]
         admission.charge(viewing, admission.counting(viewing, self.slow_start.is_cold(now, streamer)))
@@ -224,8 +239,8 @@
             admission.retries.append(now)
         streamer.last_slot = int(now / self.slow_start.slot_seconds)
         state.assign(now, viewing, streamer)
-        # The first tune-in leaves time for a second one within the join target; that may use all that is
-        # left of it.
+        # The first tune-in leaves time for a second one within the join target; a later tune-in may use all
+        # that is left of the join target.
         time_out = max(
             FIRST_TUNE_IN_PART * viewing.package.join_target,
             viewing.join_deadline - now if viewing.tries > 1 else 0.0,
