--- a/herongap/rules/state.py
+++ b/herongap/rules/state.py
@@ -26,8 +26,8 @@
 
     `own` and `others` are loads in kB a second, the latter as of the last report. `all_links` is the sum of
     all links, None for that sum itself, and `all_at_report` the own load on it at the time of the report.
-    `assumed_fill` is the part of the usual load that is assumed without a report. `cut_at` is the time of the
-    last cut.
+    `last_change` is the size of the last change of the own load, kept only for the sum. `assumed_fill` is the
+    part of the usual load that is assumed without a report. `cut_at` is the time of the last cut of rungs.
     """
 
     def __init__(self, capacity: float, all_links: "SharedLink | None" = None):
@@ -53,36 +53,38 @@
 
     def on_report(self, now: float, ratio: float, age: float) -> None:
         """Takes a report of total load over capacity, `age` seconds old."""
-        # The report describes a moment ago: own load that was added or removed since must not count twice.
+        # The report describes an earlier moment: own load added or removed since then must not count twice.
         self.others, self.reported_at = ratio * self.capacity - self.own_at(now - age), now
         self.all_at_report = self.all_links.own_at(now - age)
 
     def others_utilization(self) -> float:
         """The part of the capacity that the other controllers use."""
-        # A report ages fast in a burst: how the own load on all links has changed since, as far as that is
-        # more than chance, is a sample of how the load of all the others has changed.
+        # In a burst of requests a report is soon out of date. The change of this controller's own load on all
+        # links since the report, as far as it exceeds chance, is a sample of the change of the others' load.
         change = self.all_links.own - self.all_at_report
         certain = change * max(0.0, 1 - (self.all_links.last_change / max(abs(change), 1e-9)) ** 0.5)
         return max(0.0, self.others / self.capacity + certain / self.all_links.capacity)
 
     def utilization(self, now: float, usual: float, more: float = 0.0) -> float:
         """The used part of the capacity if `more` is added; an old report fades to the `usual` load."""
-        age = min(1.0, (now - self.reported_at) / REPORT_FADE_SECONDS)
+        faded = min(1.0, (now - self.reported_at) / REPORT_FADE_SECONDS)
         return max(
             0.0,
             (self.own + more) / self.capacity
-            + (1 - age) * self.others_utilization()
-            + age * usual * self.assumed_fill,
+            + (1 - faded) * self.others_utilization()
+            + faded * usual * self.assumed_fill,
         )
 
 
 class Streamer:
     """A streamer as this controller sees it.
 
-    `share` is the part of the demand that it delivers. `started` is the latest time at which it may have
-    started, and `reported_since` the time since when it has reported its load without a long gap. `last_slot`
-    is the slot of the last tune-in, `own_slot` the one in which this controller may send while it is cold.
-    `stream_counts` has the viewings that share a stream, by title, package and rung.
+    `share` is the part of the demand that it delivers. `set_aside_until` is when it may get viewings again
+    after a failure, `listed_at` the time of the last list that named it. `started` is the latest time at
+    which it may have started, and `reported_since` the time since when it has reported its load without a
+    long gap. `last_slot` is the slot of the last tune-in, `own_slot` the one in which this controller may
+    send while the streamer is cold; `slot_phase` spreads the slots of streamers. `stream_counts` has the
+    number of viewings that share a stream, by title, package and rung.
     """
 
     def __init__(self, entry: StreamerEntry, link: SharedLink, rack: SharedLink):
@@ -93,7 +95,10 @@
 
 
 class PackageProfile:
-    """The terms of a package, with the rate of each rung and the value of each step between rungs."""
+    """The terms of a package, with the rate of each rung and the value of each step between rungs.
+
+    `added_share` is the part of its rate that each further viewer of a shared stream adds.
+    """
 
     def __init__(self, p: Package, ladder: tuple[float, ...], worths: tuple[float, ...], join_adds: float):
         self.name, self.join_target, self.floor, self.top = p.name, p.join_target, p.floor, p.top
@@ -115,7 +120,9 @@
     `tries` counts its tune-ins, `tried` has their streamers, and `may_have_run` zone, cell and time of those
     that may have started it. `probed` is the streamer whose load it waits for. It waits for room until
     `hold_until`, and for the slot of a cold streamer until `slot_due_at`. `unsampled` marks a viewing whose
-    changes say nothing of the load of other controllers.
+    load changes are no sample of those of other controllers. `is_flood` marks a request beyond its member's
+    usual rate. `charged_budgets` are the fleet budgets that it counts towards, `short_budgets` those that
+    lacked room for it and were reported.
     """
 
     def __init__(self, request: ViewingRequest, package: PackageProfile, now: float):
@@ -139,8 +146,9 @@
 class ControllerState:
     """Everything that the parts of one controller share.
 
-    `to_check` has the streamers with news of their load since the last look, `decisions` what the host has
-    yet to carry out, and `recheck` whether room may have appeared for the viewings that wait.
+    `to_check` has the streamers with a new load report since the last check, `decisions` what the host has
+    yet to carry out, and `recheck` whether room may have appeared for the viewings that wait. `usual_load` is
+    the part of a link that the other controllers usually use.
     """
 
     def __init__(self, seed: int, config: DeploymentConfig):
@@ -163,11 +171,12 @@
             deque(),
             SharedLink(1e18),
         )
-        # Requests of the last seconds; how often each holder was named in one, and (None) all requests.
+        # Decaying counts: requests of the last seconds; how often each holder was named in a request, and
+        # under None, all requests.
         self.recent_requests, self.named_holders, self.cold_start = 0.0, Counter(), c.cold_start
 
     def listed(self, now: float, kind: str, lines: tuple[StreamerEntry, ...]) -> None:
-        """Takes a streamer list; one that is not "changes" has all streamers, and the others have left."""
+        """Takes a streamer list; unless its kind is "changes", streamers that it does not name have left."""
         for line in lines:
             if line.streamer not in self.streamers and line.status is not StreamerStatus.LEFT:
                 link = SharedLink(self.link_per_weight * line.weight, self.all_links)
@@ -226,13 +235,15 @@
             {name: 0.99 * times for name, times in self.named_holders.items() if times > 0.01}
         )
         for streamer in streamers:
-            # Assumed as full as all others, a streamer that has just started would stay empty when it is
-            # needed most.
+            # If it were assumed to be as full as all others, a streamer that has just started would stay
+            # empty when it is needed most.
             streamer.link.assumed_fill = min(
                 1.0, max(0.0, (now - (streamer.entry.started or -1e9)) / self.warm_up)
             )
-            warmth = self.cold_start + (1 - self.cold_start) * max(0.0, now - streamer.started) / self.warm_up
-            streamer.link.capacity = self.link_per_weight * streamer.entry.weight * min(1.0, warmth)
+            warm_share = (
+                self.cold_start + (1 - self.cold_start) * max(0.0, now - streamer.started) / self.warm_up
+            )
+            streamer.link.capacity = self.link_per_weight * streamer.entry.weight * min(1.0, warm_share)
             streamer.reported_since = (
                 min(streamer.reported_since, now)
                 if now - streamer.link.reported_at < REPORT_FADE_SECONDS
@@ -240,17 +251,19 @@
             )
         for name, rack in self.racks.items():
             rack.assumed_fill = fmean(
-                [st.link.assumed_fill for st in streamers if st.entry.rack == name] or [1]
+                [streamer.link.assumed_fill for streamer in streamers if streamer.entry.rack == name] or [1]
             )
-        active = [st for st in streamers if st.entry.status is StreamerStatus.ACTIVE]
-        # One controller's part of all links: the part of it that this controller uses is what the others use
-        # of each link on average.
-        self.all_links.capacity = (sum(st.link.capacity for st in active) or 1.0) / max(
+        active = [streamer for streamer in streamers if streamer.entry.status is StreamerStatus.ACTIVE]
+        # The capacity of all links divided by the number of other controllers: this controller's own load
+        # over that estimates the part of each link that the others use together, on average.
+        self.all_links.capacity = (sum(streamer.link.capacity for streamer in active) or 1.0) / max(
             self.controllers - 1, 1e-9
         )
-        own = sum(st.link.own for st in active) / self.all_links.capacity
+        own = sum(streamer.link.own for streamer in active) / self.all_links.capacity
         reported = [
-            st.link.others_utilization() for st in active if now - st.link.reported_at < REPORT_FADE_SECONDS
+            streamer.link.others_utilization()
+            for streamer in active
+            if now - streamer.link.reported_at < REPORT_FADE_SECONDS
         ]
         # The median: the report of one failing streamer must not make every other link look full, not even
         # if it is the only report.
@@ -291,6 +304,7 @@
         if not streamer.stream_counts[key]:
             del streamer.stream_counts[key]
         self.all_links.last_change = abs(kb)
+        # `all_links` comes last, as the slice leaves it out for an unsampled viewing.
         for link in (streamer.link, streamer.rack, self.all_links)[: 3 - viewing.unsampled]:
             link.add(now, kb)
 
