--- a/herongap/host/host.py
+++ b/herongap/host/host.py
@@ -53,18 +53,18 @@
         self.statuses: dict[Id, StreamerStatus] = {}
         self.counts = dict.fromkeys(COUNTS, 0)
         self._due: list[tuple] = []
-        self._armed = float("inf")
+        self._next_wake_at = float("inf")
         if recorder:
             recorder.start(now, seed, config)
         self.module = make(now, seed, config)
-        self._pump(now)
+        self._finish_input(now)
 
     # Inputs. Each is one line of the record, under the name of its method.
 
     def listed(self, now: float, kind: str, lines: Iterable[StreamerEntry]) -> None:
         """A streamer list; `kind` is "changes", "whole", "remembered" or (without lines) "failed"."""
         lines = tuple(lines)
-        self._enter(now, "listed", kind, lines)
+        self._begin_input(now, "listed", kind, lines)
         if kind in ("whole", "remembered"):
             self.statuses = {}
         for line in lines:
@@ -72,35 +72,35 @@
             if kind == "changes" and line.status is StreamerStatus.LEFT:
                 del self.statuses[line.streamer]  # each deployment brings new names: they would pile up
         self.module.listed(now, kind, lines)
-        self._pump(now)
+        self._finish_input(now)
 
     def asked(self, now: float, request: ViewingRequest) -> HostedViewing:
         """A viewer requests a viewing and waits `request.time_left` seconds; `Port.answer` follows once."""
-        self._enter(now, "asked", request)
+        self._begin_input(now, "asked", request)
         if request.viewing in self.viewings:
             raise InvalidHostInputError(f"viewing {request.viewing} is held already")
         hosted = self.viewings[request.viewing] = HostedViewing(request, now)
         self.counts["asked"] += 1
         self.module.asked(now, request)
-        self._pump(now)
+        self._finish_input(now)
         return hosted
 
     def started(self, now: float, viewing: Id, number: int, streamer: Id, load: LoadReport | None) -> bool:
         """A streamer started a viewing; False if that is too late, and the viewing is torn down there."""
-        self._enter(now, "started", viewing, number, streamer, load)
+        self._begin_input(now, "started", viewing, number, streamer, load)
         hosted = self._current(viewing, number, ViewingState.PENDING)
         if hosted is None:
             # The tune-in timed out, its viewer left, or its deadline passed. Left running, the viewing would
             # hold a place and play to nobody, beside the tune-in that followed.
             self.counts["late"] += 1
             self.port.tear_down(viewing, number, streamer, False)
-            self._pump(now)
+            self._finish_input(now)
             return False
         hosted.transition_to(ViewingState.PLAYING)
         self.module.started(now, viewing, number, streamer, now - hosted.sent_at)
         self._report_load(now, viewing, streamer, load)
         self._answer(viewing, hosted, Answer("plays"))
-        self._pump(now)
+        self._finish_input(now)
         return True
 
     def adopted(self, now: float, request: ViewingRequest, number: int, streamer: Id, rung: int) -> bool:
@@ -109,34 +109,34 @@
         Its answer was given then; `number` is that of the tune-in that plays. False if its streamer is not on
         the list: nothing could be decided about it, so it is torn down.
         """
-        self._enter(now, "adopted", request, number, streamer, rung)
+        self._begin_input(now, "adopted", request, number, streamer, rung)
         if request.viewing in self.viewings:
             raise InvalidHostInputError(f"viewing {request.viewing} is held already")
         if streamer not in self.module.streamers:
             self.port.tear_down(request.viewing, number, streamer, False)
-            self._pump(now)
+            self._finish_input(now)
             return False
         self.viewings[request.viewing] = HostedViewing.adopted(request, now, number, streamer, rung)
         self.counts["adopted"] += 1
         self.module.handed(now, request, streamer)
         self.module.rung_told(now, request.viewing, rung)
-        self._pump(now)
+        self._finish_input(now)
         return True
 
     def ended(
         self, now: float, viewing: Id, number: int, reason: EndReason, load: LoadReport | None = None
     ) -> None:
         """A pending tune-in, or the viewing that it started, ended; ignored if it has ended already."""
-        self._enter(now, "ended", viewing, number, reason, load)
+        self._begin_input(now, "ended", viewing, number, reason, load)
         if hosted := self._current(
             viewing, number, ViewingState.PENDING, ViewingState.PLAYING, ViewingState.CLOSING
         ):
             self._end(now, viewing, hosted, reason, load)
-        self._pump(now)
+        self._finish_input(now)
 
     def left(self, now: float, viewing: Id) -> None:
         """The viewer left or ended the viewing; ignored if it has ended already."""
-        self._enter(now, "left", viewing)
+        self._begin_input(now, "left", viewing)
         hosted = self.viewings.get(viewing)
         if hosted and hosted.state is ViewingState.WAITING:
             self.module.left(now, viewing)
@@ -148,68 +148,68 @@
             self._finish(viewing, hosted, Answer("gone", cause=hosted.cause))
         elif hosted and hosted.state is ViewingState.PLAYING:
             self._close(now, viewing, hosted)
-        self._pump(now)
+        self._finish_input(now)
 
     def torn_down(self, now: float, viewing: Id, number: int) -> None:
         """A streamer confirmed a teardown that was requested."""
-        self._enter(now, "torn_down", viewing, number)
+        self._begin_input(now, "torn_down", viewing, number)
         if hosted := self._current(viewing, number, ViewingState.CLOSING):
             self._end(now, viewing, hosted, EndReason.PLAYED, None)
-        self._pump(now)
+        self._finish_input(now)
 
     def share_told(self, now: float, streamer: Id, share: float) -> None:
         """A streamer delivers this share of the demand, 0 to 1."""
-        self._enter(now, "share_told", streamer, share)
+        self._begin_input(now, "share_told", streamer, share)
         if streamer in self.module.streamers:
             self.module.share_told(now, streamer, share)
-        self._pump(now)
+        self._finish_input(now)
 
     def rung_told(self, now: float, viewing: Id, rung: int) -> None:
         """A streamer reports the rung at which it plays a viewing; ignored if the viewing is not held."""
-        self._enter(now, "rung_told", viewing, rung)
+        self._begin_input(now, "rung_told", viewing, rung)
         if hosted := self.viewings.get(viewing):
             hosted.rung = rung
             self.module.rung_told(now, viewing, rung)
-        self._pump(now)
+        self._finish_input(now)
 
     def load_told(self, now: float, streamer: Id, uplink: bool, viewing: Id | None, ratio: float) -> None:
         """A streamer reports demand over capacity of its link, or of its rack's uplink."""
-        self._enter(now, "load_told", streamer, uplink, viewing, ratio)
+        self._begin_input(now, "load_told", streamer, uplink, viewing, ratio)
         if streamer in self.module.streamers:
             self.module.load_told(now, streamer, uplink, viewing, ratio)
-        self._pump(now)
+        self._finish_input(now)
 
     def probed(
         self, now: float, streamer: Id, reason: EndReason, taken: float, load: LoadReport | None
     ) -> None:
-        """The result of a probe, PLAYED if it was answered."""
-        self._enter(now, "probed", streamer, reason, taken, load)
+        """The result of a probe after `taken` seconds, PLAYED if it was answered."""
+        self._begin_input(now, "probed", streamer, reason, taken, load)
         if streamer in self.module.streamers:
             self.module.probed(now, streamer, reason, taken, load)
-        self._pump(now)
+        self._finish_input(now)
 
     def counted(self, now: float, rank: int | None, controllers: int) -> None:
         """The number of live controllers and the rank of this one, from 0; None while that is uncertain."""
-        self._enter(now, "counted", rank, controllers)
+        self._begin_input(now, "counted", rank, controllers)
         self.module.counted(now, rank, controllers)
-        self._pump(now)
+        self._finish_input(now)
 
     def given(self, now: float, budget: str, room: int) -> None:
-        """How many more may be begun here that count towards a fleet budget; below 0, so many must end."""
-        self._enter(now, "given", budget, room)
+        """How many more viewings of a fleet budget may start here; if negative, how many must end."""
+        self._begin_input(now, "given", budget, room)
         self.module.given(now, budget, room)
-        self._pump(now)
+        self._finish_input(now)
 
     def heard(self, now: float, peer: int, message: bytes) -> None:
         """A message of another controller."""
-        self._enter(now, "heard", peer, message)
+        self._begin_input(now, "heard", peer, message)
         self.module.heard(now, peer, message)
-        self._pump(now)
+        self._finish_input(now)
 
     def woke(self, now: float) -> None:
-        """The time of a `wake` decision has come."""
-        self._enter(now, "woke")
-        self._pump(now)
+        """A time that was passed to `Port.wake` has come."""
+        self._begin_input(now, "woke")
+        self._finish_input(now)
 
     # Queries. They change nothing and are not recorded.
 
@@ -234,12 +234,14 @@
 
     # Internals.
 
-    def _enter(self, now: float, name: str, *args) -> None:
+    def _begin_input(self, now: float, name: str, *args) -> None:
+        """Record an input, and handle what is due by its time before it."""
         if self.recorder:
             self.recorder.input(now, name, args)
         self._run_due(now)
 
     def _run_due(self, now: float) -> None:
+        """Handle the wake-ups and time-outs that are due, each with the decisions that follow from it."""
         while self._due and self._due[0][0] <= now:
             _, what, viewing, number = heappop(self._due)
             if what == "wake":
@@ -249,16 +251,17 @@
                 self._end(now, viewing, hosted, EndReason.TIMED_OUT, None)
             elif what == "torn_down" and (hosted := self._current(viewing, number, ViewingState.CLOSING)):
                 self._end(now, viewing, hosted, EndReason.PLAYED, None)
-            self._pull(now)
+            self._carry_out_decisions(now)
 
-    def _pump(self, now: float) -> None:
-        self._pull(now)
+    def _finish_input(self, now: float) -> None:
+        """Carry out the decisions that follow from an input, and request the next wake-up."""
+        self._carry_out_decisions(now)
         due = self._due[0][0] if self._due else float("inf")
-        if due != self._armed and due < float("inf"):
-            self._armed = due
+        if due != self._next_wake_at and due < float("inf"):
+            self._next_wake_at = due
             self.port.wake(due)
 
-    def _pull(self, now: float) -> None:
+    def _carry_out_decisions(self, now: float) -> None:
         while (decision := self.module.decide(now)) is not None:
             if self.recorder:
                 self.recorder.decision(decision)
@@ -312,6 +315,7 @@
         return hosted if hosted and hosted.number == number and hosted.state in states else None
 
     def _close(self, now: float, viewing: Id, hosted: HostedViewing) -> None:
+        """Have a playing viewing torn down at its streamer."""
         # The seat is free only when the streamer has stopped the viewing. If the module was notified sooner,
         # it could put another viewing on that seat while the streamer still plays the first.
         hosted.transition_to(ViewingState.CLOSING)
@@ -321,6 +325,7 @@
     def _end(
         self, now: float, viewing: Id, hosted: HostedViewing, reason: EndReason, load: LoadReport | None
     ) -> None:
+        """Handle the end of a tune-in, whose viewing waits again, or of a viewing that played."""
         played = hosted.state is not ViewingState.PENDING
         self._report_end(now, viewing, hosted, reason, played, load)
         if not played:
@@ -339,6 +344,7 @@
         closed: bool,
         load: LoadReport | None,
     ) -> None:
+        """Report an end to the module; `closed` if no other tune-in of the viewing may follow."""
         hosted.cause = reason
         if hosted.streamer in self.module.streamers:
             self.module.ended(
@@ -356,6 +362,7 @@
         self.port.answer(viewing, answer)
 
     def _finish(self, viewing: Id, hosted: HostedViewing, answer: Answer) -> None:
+        """Remove a viewing that never played, and answer its viewer."""
         hosted.transition_to(ViewingState.ENDED)
         del self.viewings[viewing]
         self._answer(viewing, hosted, answer)
