--- a/herongap/node/streamers.py
+++ b/herongap/node/streamers.py
@@ -33,7 +33,7 @@
 
 
 class StreamerPort:
-    """Carries messages between the host and the streamers; `viewers` gets what is for viewers."""
+    """Carries messages between the host and the streamers; `viewers` is the port to the viewers."""
 
     def __init__(self, config: NodeConfig, clock: Callable[[], float]):
         self.connect_timeout, self.clock = config.connect_timeout, clock
@@ -41,7 +41,7 @@
         # dialled.
         self.share_above = config.sockets // 3
         self.max_connections = config.sockets // 3 + config.sockets // 20
-        # A streamer may close a connection that was idle for longer while a set-up is on its way.
+        # A streamer may close a connection that has been idle for longer than this, just as a set-up is sent.
         self.idle_limit = max(config.idle_timeout - config.connect_timeout, config.idle_timeout / 2) or inf
         # How long a cancelled tune-in is remembered, so that a late answer to it is recognised.
         self.late_answer_seconds = config.longest_deadline + messages.RELEASE_RETENTION_SECONDS
@@ -55,7 +55,8 @@
         self.upstreams: dict[str, Upstream] = {}
         self.attempts: dict[tuple[str, str], Attempt] = {}
         self.cancelled: dict[tuple[str, str], float] = {}
-        # Ends of viewings that were not handed over yet: a release may come before the set-up with `at`.
+        # Ends of viewings that were not handed over yet, with their expiry: the release by the streamer may
+        # arrive before the set-up whose `at` names that streamer.
         self.early_releases: dict[tuple[str, str], tuple[EndReason, float]] = {}
         self.timer = Timer(clock)
         self._heartbeat_ids = count(1)
@@ -95,7 +96,7 @@
     ) -> None:
         attempt = Attempt(request, number, rung, self.clock() + time_out)
         self.attempts[streamer, request.viewing] = attempt
-        # Not within the host's call: input that has arrived by now is handled first.
+        # Sent only after the host's call has returned: input that has arrived by now is handled first.
         gevent.spawn(self._start_attempt, self.upstreams[streamer], attempt)
 
     def connections(self) -> list[StreamerConnection]:
@@ -131,8 +132,8 @@
     def answer(self, viewing: str, answer: Answer) -> None:
         self.viewers.answer(viewing, answer)
 
-    def viewing_ended(self, viewing: str, how: EndReason) -> None:
-        self.viewers.viewing_ended(viewing, how)
+    def viewing_ended(self, viewing: str, reason: EndReason) -> None:
+        self.viewers.viewing_ended(viewing, reason)
 
     def probe(self, streamer: str) -> None:
         ref = self._next_heartbeat_id()
@@ -141,7 +142,7 @@
 
     def follow(self) -> None: ...  # the resolver is polled from the start
 
-    def send_to_peer(self, peer: int, words: bytes) -> None:
+    def send_to_peer(self, peer: int, message: bytes) -> None:
         log.warning("no connection to other controllers", peer=peer)
 
     def request_budget(self, budget: str) -> None: ...  # the platform has no store to divide budgets through
@@ -150,7 +151,7 @@
         self.timer.set(at)
 
     def run(self) -> None:
-        """Wake the host whenever it asked to be; never returns."""
+        """Wake the host at the times that it requested; never returns."""
         self.timer.run(lambda now: self.host.woke(now))
 
     # Connections and tune-ins.
@@ -203,7 +204,8 @@
     def _may_send(self, upstream: Upstream, attempt: Attempt) -> bool:
         """Whether a tune-in may still be sent now; nothing else runs between this check and its sending."""
         viewing, key = attempt.request.viewing, (upstream.name, attempt.request.viewing)
-        # Due timers run first, also in a process that is late; and the viewer may have gone meanwhile.
+        # Timers that are due run first, as this process may be late. Input of the viewer is read before the
+        # check, as the viewer may have left meanwhile.
         self.host.woke(self.clock())
         while self.attempts.get(key) is attempt and not self.viewers.read_available(viewing):
             gevent.sleep(0)
@@ -211,7 +213,8 @@
             return False
         if self.host.sendable(viewing, attempt.number, self.clock()):
             return True
-        # The streamer began to drain meanwhile: the tune-in was never sent, and the streamer is healthy.
+        # The streamer began to drain meanwhile, or its slot has passed. The tune-in was never sent, and must
+        # not count as a failure of the streamer.
         del self.attempts[key]
         self.host.ended(self.clock(), viewing, attempt.number, EndReason.FULL, LoadReport())
         return False
@@ -221,7 +224,7 @@
         offer = self.viewers.offer(attempt.request.viewing)
         time_left = attempt.deadline - self.clock()
         attempt.sent = messages.encode_set_up(attempt.request, attempt.rung, time_left, offer)
-        connection.send(attempt.sent)  # if it cannot be written, the connection's end reports it to the host
+        connection.send(attempt.sent)  # if this fails, `_on_closed` reports it to the host
 
     def _deliver(
         self,
@@ -271,7 +274,7 @@
         ):
             return  # nothing of it was sent
         if connection.is_unsent(attempt.sent) and not connection.attempts:
-            connection.close("cancelled before it was sent in full")  # sent in full it would be a set-up
+            connection.close("cancelled before it was sent in full")  # sent in full, it would start a viewing
             return
         self.cancelled[upstream.name, attempt.request.viewing] = self.clock() + self.late_answer_seconds
         self._release(upstream, attempt.request.viewing, connection)
@@ -291,7 +294,8 @@
         if not upstream.delisted and (
             upstream.pending or (not connection.half_closed and self.host.playing_at(upstream.name))
         ):
-            # A release may have been lost with it; the streamer sends it again on the next connection.
+            # A release by the streamer may have been lost with the connection; the streamer sends it again on
+            # the next one.
             self._ensure_connection(upstream)
         for attempt in list(connection.attempts.values()):  # handling one may cancel others
             key = upstream.name, attempt.request.viewing
@@ -355,7 +359,7 @@
 
     def _check_liveness(self, upstream: Upstream, now: float) -> None:
         if not upstream.connections and upstream.delisted:
-            # Not in the list and not connected: whoever listens there next is another streamer.
+            # Not in the list and not connected: a process that listens there later is another streamer.
             self._streamer_lost(upstream, "gone")
         elif not upstream.connections:
             self._ensure_connection(upstream)
@@ -365,7 +369,7 @@
         if status is Liveness.LOST:
             lost = self.host.playing_at(upstream.name)
             self._streamer_lost(upstream, "silent")
-            # If it lives and is only cut off from here, it must stop the viewings that this process dropped.
+            # If its process still runs and only the network is down, it must stop the viewings dropped here.
             for viewing, _ in lost:
                 self._release(upstream, viewing)
             upstream.liveness.on_data(now)
@@ -396,8 +400,8 @@
                 case "hb_ok":
                     if probe := self.probes.pop(message.ref, None):
                         streamer, sent_at = probe
-                        how = EndReason.PLAYED if message.c else EndReason.FAULTY
-                        self.host.probed(now, streamer, how, now - sent_at, messages.parse_load(message))
+                        reason = EndReason.PLAYED if message.c else EndReason.FAULTY
+                        self.host.probed(now, streamer, reason, now - sent_at, messages.parse_load(message))
                 case "wait" | "ack":
                     pass
                 case _:
@@ -411,7 +415,7 @@
         key = upstream.name, message.ref
         if not message.d:
             raise InvalidFieldError("an answer without a session description")
-        self.viewers.read_available(message.ref)  # the viewer may have gone: that may be unread
+        self.viewers.read_available(message.ref)  # the viewer may have left: its message may be unread
         attempt = self.attempts.get(key)
         if attempt is not None and attempt.connection is connection:
             load = messages.parse_load(message)
@@ -429,16 +433,16 @@
         if (attempt := self.attempts.get(key)) is not None:
             if attempt.connection is connection:
                 del self.attempts[key], connection.attempts[message.ref]
-                how = messages.END_REASONS_BEFORE_ANSWER.get(message.c, EndReason.BROKEN)
-                self.host.ended(self.clock(), message.ref, attempt.number, how, load)
+                reason = messages.END_REASONS_BEFORE_ANSWER.get(message.c, EndReason.BROKEN)
+                self.host.ended(self.clock(), message.ref, attempt.number, reason, load)
             return
         viewing = self.host.viewings.get(message.ref)
-        how = messages.END_REASONS_AFTER_ANSWER.get(message.c, EndReason.BROKEN)
+        reason = messages.END_REASONS_AFTER_ANSWER.get(message.c, EndReason.BROKEN)
         if viewing is None or viewing.streamer != upstream.name:
             if key not in self.cancelled:
-                self.early_releases[key] = how, self.clock() + messages.RELEASE_RETENTION_SECONDS
+                self.early_releases[key] = reason, self.clock() + messages.RELEASE_RETENTION_SECONDS
         elif viewing.state is ViewingState.PLAYING:
-            self.host.ended(self.clock(), message.ref, viewing.number, how, load)
+            self.host.ended(self.clock(), message.ref, viewing.number, reason, load)
             connection.send(messages.encode_ack(message.ref))
         elif viewing.state is ViewingState.CLOSING:
             self.host.torn_down(self.clock(), message.ref, viewing.number)
