--- a/herongap/node/upstream.py
+++ b/herongap/node/upstream.py
@@ -1,4 +1,4 @@
-"""One streamer as its sockets show it: connections, the set-ups on them, and undelivered messages."""
+"""One streamer's connections, the set-ups in flight on them, and its undelivered messages."""
 
 from collections.abc import Callable
 from errno import EMFILE, ENFILE, ENOBUFS, ENOMEM
@@ -33,7 +33,7 @@
 def dial_failure(error: OSError) -> tuple[EndReason, LoadReport | None]:
     """Return how a tune-in ends whose connection could not be opened.
 
-    A shortage of this process says nothing about the streamer.
+    A shortage of descriptors or memory in this process is not a failure of the streamer: it counts as FULL.
     """
     if error.errno in LOCAL_SHORTAGE_ERRORS:
         return EndReason.FULL, LoadReport()
@@ -81,7 +81,7 @@
         self.redial_at = 0.0
 
     def wait_for_dial(self, seconds: float) -> None:
-        """Wait until a dial that is under way succeeds or fails, for at most so many seconds."""
+        """Wait until a dial that is under way succeeds or fails, for at most `seconds`."""
         self.dial_finished.clear()
         self.dial_finished.wait(max(0.0, seconds))
 
@@ -106,7 +106,7 @@
                 self.deliver(connection, *entry)
 
     def has_pending(self, now: float) -> bool:
-        """Drop what has expired; whether a message is still pending."""
+        """Drop expired messages; whether one is still pending."""
         self.pending = [entry for entry in self.pending if entry[1] > now]
         self.unacknowledged = {
             viewing: entry for viewing, entry in self.unacknowledged.items() if entry[-1] > now
@@ -131,8 +131,8 @@
     def viewings_lost(self, process_gone: bool) -> None:
         """Handle the loss of all viewings at the streamer.
 
-        If its process is gone, nothing is left to deliver. If it is only silent, it may live: releases that
-        it has not answered are sent again.
+        If its process is gone, nothing is left to deliver. If it is only silent, it may still run: releases
+        that it has not answered are sent again.
         """
         if process_gone:
             self.pending = []
