--- a/herongap/platform/messages.py
+++ b/herongap/platform/messages.py
@@ -18,7 +18,7 @@
 ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 
 # Causes that a controller sends.
-CAUSE_REFUSED = 34  # nothing was started, so that trying again is harmless
+CAUSE_REFUSED = 34  # nothing was started, so a retry is harmless
 CAUSE_BUSY = 42
 CAUSE_FAILED = 47
 CAUSE_ENDED = 16
@@ -29,6 +29,8 @@
 END_REASONS_BEFORE_ANSWER = {34: EndReason.FULL, 47: EndReason.FAULTY, 102: EndReason.NOT_SENT}
 END_REASONS_AFTER_ANSWER = {16: EndReason.PLAYED, 31: EndReason.CALLED_OFF}
 
+# The delivered share of the demand, the rung of a viewing, and demand over capacity of the link and of the
+# rack's uplink.
 NOTE_NAMES = ("served", "at_rung", "link_use", "rack_use")
 ANSWER_MARGIN_SECONDS = 0.06  # an answer leaves this long before its viewer stops waiting
 RELEASE_RETENTION_SECONDS = 8.0  # a release that could not be delivered is dropped after this time
@@ -124,7 +126,7 @@
         raise InvalidFieldError(f"invalid title: {title!r:.40}")
     time_left_ms, length_ms = message.number("left"), message.number("hint")
     extras = parse_pairs(message.text("extras") or "")
-    # The viewer of a viewing that plays already waits for nothing: its time left exceeds any real one.
+    # Nobody waits for the answer if the viewing plays already (`at`): its time left may exceed the limit.
     if time_left_ms is None or not 0 < time_left_ms <= (
         MAX_DURATION_SECONDS * 1000 if "at" not in extras else 1 << 53
     ):
@@ -163,7 +165,7 @@
         return None
     values = parse_pairs(text)
 
-    def ratio(name: str) -> float | None:
+    def parse_ratio(name: str) -> float | None:
         if name not in values:
             return None
         value = parse_number(values[name])
@@ -171,7 +173,8 @@
             raise InvalidFieldError(f"{name} out of range: {value}")
         return value
 
-    return LoadReport(ratio("x0"), ratio("util"), ratio("x1"))
+    # Demand over capacity of the link, the same capped at 1, and demand over capacity of the rack's uplink.
+    return LoadReport(parse_ratio("x0"), parse_ratio("util"), parse_ratio("x1"))
 
 
 def parse_note(message: Message) -> tuple[str, float]:
