--- a/herongap/etcd/follower.py
+++ b/herongap/etcd/follower.py
@@ -26,11 +26,11 @@
 
 
 class MessageOutcome(Enum):
-    """What became of a message from etcd."""
+    """The result of processing a message from etcd."""
 
     APPLIED = "taken"
     PARTIAL = "part"  # more pages or fragments follow
-    STALE = "old"  # from a watch that was given up, or already known
+    STALE = "old"  # from an earlier watch, or its content is already in the mirror
     MEMBER_BEHIND = "behind"  # the member lags behind the highest revision seen: use another member
     OTHER_CLUSTER = "foreign"  # the member belongs to another cluster, whose revisions are not comparable
     CANCELED = "ended"  # the server canceled this watch
@@ -62,7 +62,8 @@
     """The mirrored entries and the state of the read or watch that updates them.
 
     Starts empty or from a saved mirror: `items` as they were at `revision` of `cluster`. `revision` is the
-    revision of the mirror, `highest_revision` the highest one that any member has reported.
+    revision of the mirror, `highest_revision` the highest one that any member has reported. `watch_number`
+    identifies the current watch, so that late messages of earlier watches can be recognized.
     """
 
     __slots__ = ("cluster", "counts", "next_action", "items", "revision", "highest_revision", "watch_number",
@@ -96,7 +97,8 @@
             return rejected
         first = self._pages is None
         if response.header.revision < (self.highest_revision if first else self._read_revision):
-            # A member that has lost its data answers with an empty range: reject any that is behind.
+            # A member that has lost its data answers with an empty range: the pages of a member that is behind
+            # are rejected.
             self.counts["behind"] += 1
             self._pages = None
             return MessageOutcome.MEMBER_BEHIND
@@ -113,7 +115,10 @@
         return MessageOutcome.APPLIED
 
     def abort_read(self) -> None:
-        """Discard the pages read so far: the read failed, or its revision was compacted meanwhile."""
+        """Discard the pages read so far, so that the read starts again from the first page.
+
+        For a read that failed, or whose revision was compacted between two pages.
+        """
         self._pages = None
 
     def _replace_all(self, entries: dict[str, KeyEntry], revision: int) -> None:
@@ -122,7 +127,8 @@
         for key, entry in entries.items():
             old = self.items.get(key)
             if old and self._cluster_switched:
-                # Revisions of two clusters are not comparable: a different one shows no restart.
+                # Revisions of two clusters are not comparable: take over the new ones, so that the key does
+                # not appear to have been created anew.
                 old = self.items[key] = KeyEntry(old.value, entry.create_revision, entry.mod_revision)
             if old is None or old.mod_revision != entry.mod_revision or old.value != entry.value:
                 self._change(key, entry)
@@ -175,12 +181,13 @@
         return MessageOutcome.APPLIED
 
     def stop_watch(self, watch_number: int) -> None:
-        """The stream of a watch ended. Incomplete fragments are dropped; the next watch delivers them."""
+        """The stream of a watch ended. Incomplete messages are dropped; the next watch delivers them again."""
         if watch_number == self.watch_number:
             self.watch_number += 1
             self.watching, self._fragments = False, []
 
     def _apply(self, events: list[Event]) -> MessageOutcome:
+        """Apply the events of a complete message, except those that the mirror already contains."""
         before = last = self.revision
         for event in events:
             kv = event.kv
@@ -198,6 +205,7 @@
     # Shared by reading and watching.
 
     def _check_cluster(self, cluster: int) -> MessageOutcome | None:
+        """OTHER_CLUSTER if `cluster` is not the followed one, else None; the first one seen is followed."""
         if self.cluster and cluster != self.cluster:
             self.counts["foreign"] += 1
             return MessageOutcome.OTHER_CLUSTER
@@ -216,14 +224,14 @@
             self.items[key] = entry
         if old == entry:
             return
-        # Several changes of a key since the last `take_changes` count as one, from the state reported then.
+        # Changes of a key since the last `take_changes` are merged into one, from the state reported then.
         earlier = self._changes.pop(key, None)
         reported = earlier.old if earlier else old
         if reported != entry:
             self._changes[key] = KeyChange(key, reported, entry)
 
     def take_changes(self) -> list[KeyChange]:
-        """The changes since the last call."""
+        """Return the changes since the last call, one for each changed key, and clear them."""
         found, self._changes = list(self._changes.values()), {}
         return found
 
