--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -11,11 +11,11 @@
 
 from herongap.errors import UnusableInputError
 
-CLOCK_SKEW_SECONDS = 2.0  # by which the clocks of fronts and streamers may differ
+CLOCK_SKEW_SECONDS = 2.0  # by which the clocks of controllers and streamers may differ
 
 
 class RotationTimesError(UnusableInputError):
-    """The rotation times contradict each other."""
+    """With these rotation times no key could be published before it signs."""
 
     advice = "set [dash] ahead under rotate, and above 0"
 
@@ -45,8 +45,8 @@
     def needs_new_key(self, now: float) -> bool:
         """Whether to create a key: there is none, or the newest was created `rotate` seconds ago.
 
-        The successor signs `ahead` seconds after its creation, when the newest has signed for `rotate`
-        seconds.
+        The new key starts to sign `ahead` seconds after its creation; by then its predecessor has signed for
+        `rotate` seconds.
         """
         return not self.keys or now >= self.keys[-1].created_at + self.rotate
 
@@ -56,21 +56,27 @@
         self.keys.sort(key=lambda key: (key.created_at, key.kid))
 
     def signing_key(self, now: float) -> SigningKey | None:
-        """The newest key published for long enough; the oldest one if there is none, as at first start."""
+        """The newest key that has been published for `ahead` seconds.
+
+        At first start there is none yet: then the oldest key signs. None if there are no keys.
+        """
         ready = [key for key in self.keys if key.created_at + self.ahead <= now]
         return ready[-1] if ready else self.keys[0] if self.keys else None
 
     def published_keys(self, now: float) -> list[SigningKey]:
-        """The keys that streamers have to know."""
+        """The keys with which streamers may have to verify a token, now or soon."""
         return [key for i, key in enumerate(self.keys) if now < self._expires_at(i)]
 
     def remove_expired(self, now: float) -> list[SigningKey]:
-        """Remove and return the keys that have signed no token still valid; their files can be deleted."""
+        """Remove and return the keys whose tokens have all expired; their files can be deleted."""
         expired = [key for i, key in enumerate(self.keys) if now >= self._expires_at(i)]
         self.keys = [key for key in self.keys if key not in expired]
         return expired
 
-    def _expires_at(self, i: int) -> float:
-        if i + 1 == len(self.keys):
+    def _expires_at(self, index: int) -> float:
+        """When the last token signed with a key has expired everywhere; never for the newest key."""
+        if index + 1 == len(self.keys):
             return float("inf")
-        return self.keys[i + 1].created_at + self.ahead + self.longest + 2 * CLOCK_SKEW_SECONDS
+        # Twice the skew: a streamer accepts a token until the skew after its end, and its clock may be late by
+        # as much.
+        return self.keys[index + 1].created_at + self.ahead + self.longest + 2 * CLOCK_SKEW_SECONDS
