--- a/herongap/sdp/answer.py
+++ b/herongap/sdp/answer.py
@@ -1,6 +1,7 @@
-"""Creates offers and answers for the stand-ins and load tools, which exchange no media.
+"""Creates offers and answers for the simulated streamers and viewers and the load tools.
 
-An independent WebRTC implementation accepts them.
+No media is exchanged, but the texts are complete enough for an independent WebRTC implementation to accept
+them.
 """
 
 from typing import NamedTuple
@@ -11,7 +12,10 @@
 
 # Codecs in order of preference; a media section is answered with the first one that was offered.
 CODECS = {"video": ("VP8", "H264", "VP9", "AV1"), "audio": ("opus", "PCMU")}
+# The direction that answers each offered direction.
 REVERSED = {"recvonly": "sendonly", "sendonly": "recvonly", "sendrecv": "sendonly", "inactive": "inactive"}
+DISCARD_PORT = 9  # placeholder of a media section (RFC 8829); the candidate has the real port
+HOST_CANDIDATE_PRIORITY = 2130706431  # RFC 8445, 5.1.2: the highest for a host candidate
 
 
 class Endpoint(NamedTuple):
@@ -31,7 +35,6 @@
     Raises SdpError if no section can be accepted.
     """
     sections, mids = [], []
-    # RFC 9725, 4.2: the answerer is passive, so that the client starts DTLS.
     direction = "sendonly" if offered.direction == "recvonly" else "recvonly"
     for media in offered.parsed["media"]:
         codec = _choose_codec(media)
@@ -42,11 +45,12 @@
         sections.append(
             {
                 **_section_base(media),
-                "port": 9,
+                "port": DISCARD_PORT,
                 "payloads": str(codec["payload"]),
                 "rtp": [codec],
                 "fmtp": [f for f in media.get("fmtp", ()) if f["payload"] == codec["payload"]],
                 "direction": direction,
+                # RFC 9725, 4.2: the answerer is passive, so that the client starts DTLS.
                 **_transport(local, "passive"),
                 **(
                     {"ssrcs": [{"id": local.session % (1 << 32), "attribute": "cname", "value": "herongap"}]}
@@ -84,7 +88,7 @@
         sections.append(
             {
                 "type": kind,
-                "port": 9,
+                "port": DISCARD_PORT,
                 "protocol": "UDP/TLS/RTP/SAVPF",
                 "payloads": str(codecs[0]["payload"]),
                 "connection": {"version": 4, "ip": "0.0.0.0"},
@@ -99,7 +103,7 @@
 
 
 def _section_base(media: dict) -> dict:
-    """The parts of an offered section that every answer to it repeats."""
+    """What an answer repeats of an offered section, accepted or not, with only its first payload type."""
     payloads = str(media["payloads"])
     return {
         "type": media["type"],
@@ -113,6 +117,7 @@
 
 
 def _choose_codec(media: dict) -> dict | None:
+    """The first codec of `CODECS` that was offered, under its first payload type; None if there is none."""
     names = CODECS.get(media.get("type"), ())
     offered = {str(r["codec"]).lower(): r for r in reversed(media.get("rtp", ()))}
     return next((offered[name.lower()] for name in names if name.lower() in offered), None)
@@ -123,7 +128,7 @@
         "foundation": "1",
         "component": 1,
         "protocol": "udp",
-        "priority": 2130706431,
+        "priority": HOST_CANDIDATE_PRIORITY,
         "ip": local.address,
         "port": local.port,
         "type": "host",
