--- a/herongap/ini/site.py
+++ b/herongap/ini/site.py
@@ -39,7 +39,8 @@
 class SiteConfig(NamedTuple):
     """The settings that a controller process is started with.
 
-    `protocols` are the protocols of each package, `defaults` the default package of each protocol.
+    `patience` and `protocols` have an entry for each package, `defaults` has the default package of each
+    protocol. `connect` is the time limit in seconds for connecting to a streamer.
     """
 
     front: FrontSection
@@ -100,7 +101,7 @@
         elif section not in sections and section not in SECTIONS_WITHOUT_DEFAULT:
             sections[section] = model()
     if not places and "places" not in parser:
-        # They determine the rate of set-ups to streamers in slow start.
+        # The numbers of places determine the rate of set-ups to streamers in slow start.
         errors.append("[places]: missing; needs a key for each kind of streamer: the viewings that one plays")
     if not named["package"]:
         errors.append("[package NAME]: at least one package is needed")
@@ -152,6 +153,7 @@
 
 def _build_site_config(path: Path, sections: dict, named: dict, places: dict[str, int]) -> SiteConfig:
     front, ladder, links = sections["front"], sections["ladder"], sections["links"]
+    # [budget] is the retry budget, each [budget NAME] a fleet budget.
     tune_ins, cold, retry_budget = sections["tune_ins"], sections["cold"], sections.get("budget")
     top_rung = len(ladder.rates) - 1
     packages = tuple(
