--- a/herongap/cli/lists.py
+++ b/herongap/cli/lists.py
@@ -55,7 +55,7 @@
         sys.exit(2)
 
     def key(self, kind: str, name: str) -> str:
-        """The etcd key of an object."""
+        """The etcd key of an object; `kind` is the part after the prefix, such as "streamers"."""
         return f"{self.terms.prefix}{kind}/{name}"
 
     def items(self) -> tuple[int, dict]:
@@ -144,8 +144,8 @@
 def _print_list(status: dict) -> None:
     source = status["source"]
     for name, streamer in status["streamers"].items():
-        where = " ".join(f"{key} {streamer[key]}" for key in ("zone", "rack") if streamer.get(key))
-        click.echo(f"{name:20} {streamer['standing']:8} {streamer['address']:24} {where}".rstrip())
+        location = " ".join(f"{key} {streamer[key]}" for key in ("zone", "rack") if streamer.get(key))
+        click.echo(f"{name:20} {streamer['standing']:8} {streamer['address']:24} {location}".rstrip())
     age = f", last confirmed {source['age']:.1f} s ago" if source.get("age") is not None else ""
     revision = f", revision {source['revision']}" if "revision" in source else ""
     click.echo(f"{len(status['streamers'])} streamers, {source['state']}{revision}{age}")
@@ -165,7 +165,8 @@
 
     from herongap.daemon.etcd import StreamerRegistry
 
-    terms = Store(file).terms.model_copy(update={"remembered": ""})
+    # Use no cache file: the one in the settings belongs to the running controller.
+    settings = Store(file).terms.model_copy(update={"remembered": ""})
 
     def print_changes(kind: str, entries, addresses) -> None:
         for entry in entries:
@@ -177,16 +178,17 @@
                 click.echo(f"{revision:>10} {kind:8} {entry.streamer:20} {standing}")
             sys.stdout.flush()
 
+    # Only `follow` runs, which claims no controller number: number, expected count and seed are placeholders.
     registry = StreamerRegistry(
-        terms, 0, 1, 1, "herongap-list", time.monotonic, print_changes, lambda *place: None
+        settings, 0, 1, 1, "herongap-list", time.monotonic, print_changes, lambda *rank: None
     )
-    following = gevent.spawn(registry.follow)
+    follow_greenlet = gevent.spawn(registry.follow)
     try:
-        following.join(timeout=seconds)
+        follow_greenlet.join(timeout=seconds)
     except KeyboardInterrupt:
         pass
     finally:
-        following.kill()
+        follow_greenlet.kill()
         registry.close()
 
 
@@ -231,8 +233,8 @@
 def import_(file: Path, source: Path, delete_others: bool, dry_run: bool) -> None:
     """Write the streamers of SOURCE, a streamer list file as in [streamers] list, to etcd.
 
-    Unchanged values are not written again, and fields that SOURCE cannot contain are kept. The standing
-    "leaving" adds a drain, "active" removes it, "left" deletes the streamer.
+    Unchanged values are not written again, and fields that SOURCE cannot contain are kept. An entry
+    with standing "leaving" adds a drain, "active" removes it, "left" deletes the streamer.
     """
     from herongap.etcd.keys import InvalidValueError, decode_value, update_value
 
