--- a/herongap/etcd/follower.py
+++ b/herongap/etcd/follower.py
@@ -97,8 +97,8 @@
             return rejected
         first = self._pages is None
         if response.header.revision < (self.highest_revision if first else self._read_revision):
-            # A member that has lost its data answers with an empty range: the pages of a member that is behind
-            # are rejected.
+            # A member that has lost its data answers with an empty range: the pages of a member that is
+            # behind are rejected.
             self.counts["behind"] += 1
             self._pages = None
             return MessageOutcome.MEMBER_BEHIND
@@ -181,7 +181,7 @@
         return MessageOutcome.APPLIED
 
     def stop_watch(self, watch_number: int) -> None:
-        """The stream of a watch ended. Incomplete messages are dropped; the next watch delivers them again."""
+        """The stream of a watch ended. Incomplete messages are dropped; the next watch sends them again."""
         if watch_number == self.watch_number:
             self.watch_number += 1
             self.watching, self._fragments = False, []
