--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -77,6 +77,6 @@
         """When the last token signed with a key has expired everywhere; never for the newest key."""
         if index + 1 == len(self.keys):
             return float("inf")
-        # Twice the skew: a streamer accepts a token until the skew after its end, and its clock may be late by
-        # as much.
+        # Twice the skew: a streamer accepts a token until the skew after its end, and its clock may be
+        # late by as much.
         return self.keys[index + 1].created_at + self.ahead + self.longest + 2 * CLOCK_SKEW_SECONDS
