--- a/herongap/sdp/answer.py
+++ b/herongap/sdp/answer.py
@@ -12,7 +12,6 @@
 
 # Codecs in order of preference; a media section is answered with the first one that was offered.
 CODECS = {"video": ("VP8", "H264", "VP9", "AV1"), "audio": ("opus", "PCMU")}
-# The direction that answers each offered direction.
 REVERSED = {"recvonly": "sendonly", "sendonly": "recvonly", "sendrecv": "sendonly", "inactive": "inactive"}
 DISCARD_PORT = 9  # placeholder of a media section (RFC 8829); the candidate has the real port
 HOST_CANDIDATE_PRIORITY = 2130706431  # RFC 8445, 5.1.2: the highest for a host candidate
