--- a/herongap/dash/key_rotation.py
+++ b/herongap/dash/key_rotation.py
@@ -15,7 +15,7 @@
 
 
 class RotationTimesError(UnusableInputError):
-    """With these rotation times no key could be published before it signs."""
+    """The rotation times are not allowed: `ahead` must be above 0 and below `rotate`."""
 
     advice = "set [dash] ahead under rotate, and above 0"
 
