--- a/herongap/accord/shares.py
+++ b/herongap/accord/shares.py
@@ -5,8 +5,8 @@
 ever takes an allotment from another:
 
 - A controller writes the amount it wants into its own allotment. From the same wants all controllers compute
-  the same goals, by max-min fairness (D. Bertsekas and R. Gallager, "Data Networks", 6.5.2), with the surplus
-  divided evenly on top.
+  the same goals, the amounts that each should have, by max-min fairness (D. Bertsekas and R. Gallager, "Data
+  Networks", 6.5.2), with the surplus divided evenly on top.
 - A controller above its goal returns what it does not use, and stops using it before the write is sent. A
   controller below its goal takes from the free amount. A viewing that the controller's own allotment covers
   needs no request to anyone (escrow: P. O'Neil, 1986).
@@ -43,8 +43,8 @@
 RESPONSE_SPREAD_SECONDS = 0.006  # per controller, over which they respond to one that runs short
 RETRY_DELAY_SECONDS = 0.02  # after a conflict or a missing reply; randomized, doubled on each further failure
 MAX_BACKOFF_DOUBLINGS = 6
-WANT_CHANGE_FRACTION = 0.25  # of the goal: a want that moves by more is written though nobody waits for it
-MIN_WANT_CHANGE = 2  # smaller changes of a want are not written on their own
+WANT_CHANGE_FRACTION = 0.25  # of the goal: a want that moves by more is written even without a shortage
+MIN_WANT_CHANGE = 2  # a want that moves by this or less is not written on its own
 
 
 class BudgetKind(Enum):
@@ -59,9 +59,9 @@
 
     `limit` initializes a new allocation; afterwards the limit stored in the allocation applies. `floor` is
     the least that each controller wants. `window` (rate) is in seconds. `linger` (held) is how many seconds
-    something may outlast its controller's lease if nobody ends it, since a suspended process ends nothing:
-    the longest that streamers play without hearing from the controller. With `keep_without_store` an
-    allotment is used until its lease ends, otherwise only until a lease renewal fails.
+    something may outlast its controller's lease if the controller does not end it, as when its process is
+    suspended: the longest that streamers play without hearing from the controller. With `keep_without_store`
+    an allotment is used until its lease ends, otherwise only until a lease renewal fails.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
     @property
     def grace_period(self) -> float:
-        """Seconds after its lease for which a controller's usage may still count, by anybody's clock."""
+        """Seconds after its lease for which a controller's usage may still count, by any process's clock."""
         return (self.window if self.kind is BudgetKind.RATE else self.linger) * (
             1 + MAX_CLOCK_DRIFT
         ) + CLOCK_MARGIN_SECONDS
@@ -183,7 +183,7 @@
         self.incarnation = -1  # revision of the current claim of our number; -1 without one
         self.incarnations: set[int] = set()  # all claims of this process
         self.renewal_failing = self.leaving = self.recount_needed = False
-        # `inherited` is the usage of an earlier process and the time until which it may last.
+        # `inherited` is the usage of an earlier process and the time until which it counts.
         self.held_count, self.reserved_count, self.inherited = 0, 0, (0, float("-inf"))
         self.rejections: deque[float] = deque()  # times of rejected requests
         self.start_times: deque[float] = deque()  # kind `rate` only
@@ -191,8 +191,11 @@
         self._parsed_body, self._parse_error = None, ""  # the body that `allocation` was parsed from
         self.promised_amount: int | None = None  # our allotment as in the pending commit
         self.ceiling: int | None = None  # our goal, if the limit was lowered below the sum of the allotments
+        # `due` is when to call `next_commit` next; `draws` counts the random numbers used so far.
         self.due, self.write_allowed_at, self.failed_writes, self.draws = 0.0, 0.0, 0, 0
+        # Since when the claim of each (controller, incarnation) has been gone.
         self.absent_since: dict[tuple[str, int], float] = {}
+        # Since when all live controllers have been counted, and the counted set, which must stay the same.
         self.recount_since: tuple[float, object] | None = None
 
     # The lease, as reported by `Membership`.
@@ -201,7 +204,7 @@
         """Update the state of our claim on the controller number.
 
         The claim that created its key at revision `incarnation` is ours until `until` by our clock; `failing`
-        means that a renewal has failed. Without `holds` the number is not ours and may be claimed again.
+        means that a renewal has failed. Without `holds` the number is not ours: any process may claim it.
         """
         self.renewal_failing = failing
         if not holds:
@@ -247,12 +250,12 @@
         What an earlier process of this controller may have begun counts too, until it has ended or was
         recovered.
         """
-        more = self.reserved_count + (self.inherited[0] if now < self.inherited[1] else 0)
+        additional = self.reserved_count + (self.inherited[0] if now < self.inherited[1] else 0)
         if self.terms.kind is BudgetKind.HELD:
-            return self.held_count + more
+            return self.held_count + additional
         while self.start_times and self.start_times[0] <= now - self.terms.window * (1 + MAX_CLOCK_DRIFT):
             self.start_times.popleft()
-        return len(self.start_times) + more
+        return len(self.start_times) + additional
 
     def room(self, now: float) -> int:
         """How many more may be begun now; to be checked just before each counted effect is sent."""
@@ -286,16 +289,20 @@
         self._expedite(now)
 
     def overdue(self, now: float) -> int:
-        """How many held items must be ended now because their allotment may be reassigned."""
+        """How many held items must be ended now because their allotment may be given to others."""
         if self.terms.kind is BudgetKind.RATE or not self.held_count:
             return 0
         if now < self.lease_until and self._is_registered():
             return max(0, self.held_count - self._allotment().amount) if self.allocation.open else 0
-        # A new claim does not revalidate the allotment: until it is registered again it may be reassigned.
+        # A new claim alone does not make the allotment valid again: before it is registered under the new
+        # claim, its amount may be given to others.
         return self.held_count if now >= self.trusted_until + self.terms.linger else 0
 
     def want(self, now: float) -> int:
-        """Current usage plus recent rejections. The surplus of the allocation serves future requests."""
+        """Current usage plus recent rejections.
+
+        Requests to come are not included: the evenly divided surplus is there for them.
+        """
         while self.rejections and self.rejections[0] <= now - REJECTION_MEMORY_SECONDS:
             self.rejections.popleft()
         return max(self.terms.floor, self.usage(now) + len(self.rejections))
@@ -313,7 +320,10 @@
         return self._apply(now, self.document.handle_reply(commit, revision, won, version, data))
 
     def handle_unknown_outcome(self, now: float, commit: Commit) -> None:
-        """No reply arrived: the commit is sent again, and its smaller amount already applies meanwhile."""
+        """Handle a missing reply: the commit is sent again.
+
+        Until its outcome is known, the smaller of the old and the new amount applies.
+        """
         if commit == self.document.pending:
             self.document.handle_unknown_outcome()
         # A store that rejects at once, as during an election, must not be called a thousand times a second.
@@ -356,7 +366,7 @@
         return commit
 
     def _expedite(self, now: float) -> None:
-        # Without room the next request would be rejected: ask the others now rather than after a rejection.
+        # Without room the next request would be rejected: request more now, not after a rejection.
         if not self.room(now):
             self.due = min(self.due, max(now, self.write_allowed_at))
 
@@ -387,14 +397,15 @@
         if outcome is None:
             if self.allocation and any(a.want > a.amount for a in self.allocation.allotments.values()):
                 # One controller runs short and all are notified at once. They return amounts one after the
-                # other, each about as long apart as a write takes; within one fixed delay for all, hundreds
-                # of controllers would conflict.
+                # other, about the duration of a write apart. With one fixed delay range, however many they
+                # are, the writes of hundreds of controllers would conflict.
                 spread = RESPONSE_SPREAD_SECONDS * len(self.allocation.allotments)
                 self.due = min(self.due, max(self.write_allowed_at, now + spread * self._random()))
         else:
             self.promised_amount = None
             self.failed_writes = self.failed_writes + 1 if outcome is CommitOutcome.CONFLICT else 0
-            # All conflicting commits were answered at the same moment: a random delay separates the retries.
+            # Controllers whose commits conflicted learn it at the same moment: a random delay separates their
+            # retries.
             self.due = now + (self._retry_delay() if self.failed_writes else self._write_interval())
             self.write_allowed_at = self.due
         return outcome
@@ -428,7 +439,7 @@
     def _register(
         self, allocation: Allocation, allotment: Allotment | None, usage: int, now: float
     ) -> Allocation:
-        # The allotment of an earlier claim covers what that process used: it is taken over unchanged.
+        # The allotment of an earlier claim covers what its process used: it is taken over unchanged.
         want = self.want(now)
         if allotment is None:
             amount = min(want, max(0, allocation.free)) if allocation.open else usage
@@ -445,7 +456,7 @@
     def _expired_controllers(
         self, now: float, allocation: Allocation, live: Mapping[str, int] | None
     ) -> list[str]:
-        """Controllers whose lease has been gone for so long that everything they began has ended."""
+        """Controllers whose lease has been gone so long that everything they began has ended."""
         if live is None:
             self.absent_since.clear()
             return []
@@ -462,7 +473,7 @@
     def _recount_step(
         self, now: float, allocation: Allocation, live, allotment: Allotment, usage: int
     ) -> Allocation | None:
-        """During a recount: state our usage, and open the allocation once no statement can be missing."""
+        """During a recount: state our usage, and open the allocation once no usage can be missing."""
         if allotment.count != allocation.count or allotment.amount != usage:
             return allocation.with_allotment(
                 self.controller, allotment._replace(amount=usage, count=allocation.count)
@@ -492,7 +503,7 @@
             if goal < allotment.amount
             else allotment.amount + min(goal - allotment.amount, free)
         )
-        # Shortage of the others by their stated wants; one that wants all it has will need one more soon.
+        # What the others lack by their stated wants; one that wants all that it has will need one more soon.
         shortage = sum(
             max(0, a.want + 1 - a.amount) for c, a in allocation.allotments.items() if c != self.controller
         )
