--- a/herongap/gossip/gossip.py
+++ b/herongap/gossip/gossip.py
@@ -1,9 +1,9 @@
-"""Membership by gossip: probes, indirect probes, suspicion, and member records that ride on them. No I/O.
+"""Membership by gossip: probes, indirect probes, suspicion, and member records piggybacked on them. No I/O.
 
 SWIM (Das et al. 2002) with the adaptive timeouts of Lifeguard (Dadgar et al. 2017). Two additions: a process
 that was suspended declares no member gone before it has caught up with another member (`_detect_pause`); and
-each member reports whom it does not hear directly, so that a link that works one way only is a state of that
-pair and never counts as a failure of a member.
+each member reports whom it does not hear directly, so that a link that works one way only is recorded for
+that pair of members and never counts as a failure of either.
 
 `tick` and `receive` return the datagrams to send, as (address, bytes). Times are by the caller's clock, in
 seconds.
@@ -39,18 +39,22 @@
     probe_interval: float = 0.5
     ack_timeout: float = 0.2  # for a direct answer
     indirect_probes: int = 3  # members asked to ping a member that does not answer directly
-    suspicion_rounds: float = 3.0  # shortest suspicion in probe intervals, times log10 of the members
-    max_suspicion_factor: float = 2.0  # longest suspicion, without confirmations, over the shortest
-    confirmations: int = 3  # other suspecting members that shorten a suspicion to the shortest
-    max_health: int = 8  # upper limit of the score by which a slow member stretches its own timeouts
-    pause_threshold: float = 0.5  # a process that runs later than this after its due time was suspended
+    suspicion_rounds: float = 3.0  # shortest suspicion, in probe intervals times log10 of the member count
+    max_suspicion_factor: float = 2.0  # longest suspicion (no confirmations), as a multiple of the shortest
+    confirmations: int = 3  # other members whose suspicion shortens ours to the shortest
+    max_health: int = 8  # upper limit of `Gossip.health`, by which a slow member lengthens its timeouts
+    pause_threshold: float = 0.5  # a process that runs more than this after its due time was suspended
     catch_up_timeout: float = 10.0  # after a pause, longest wait for a sync before declaring members gone
     sync_interval: float = 10.0  # between two exchanges of the full member table
     detects_pauses: bool = True  # False: plain SWIM, which may declare members gone right after a pause
 
 
 class Probe:
-    """A probe in flight. `helpers` is the number of members asked for an indirect probe, -1 if none."""
+    """A probe in flight.
+
+    `helpers` is the number of members asked for an indirect probe: 0 before that, -1 if there were none to
+    ask. `answers` is how many of them have replied.
+    """
 
     __slots__ = ("number", "incarnation", "sequence", "due", "until", "helpers", "answers")
 
@@ -71,10 +75,10 @@
 
     def until(self, confirmations: int) -> float:
         """The end of the suspicion; as in Lifeguard, confirmations move it towards the shortest duration."""
-        part = (
+        fraction = (
             min(1.0, log10(len(self.confirmed_by) + 1) / log10(confirmations + 1)) if confirmations else 1.0
         )
-        return self.since + self.longest - (self.longest - self.shortest) * part
+        return self.since + self.longest - (self.longest - self.shortest) * fraction
 
 
 class Gossip:
@@ -95,6 +99,7 @@
         self.probes: dict[int, Probe] = {}
         # Probes on behalf of others, by our sequence: requester, its sequence, target, deadline.
         self.relayed_probes: dict[int, tuple[Address, int, int, float]] = {}
+        # `health` is Lifeguard's score of this member itself: 0 is healthy, more is slower.
         self.health, self.sequence, self.probe_order = 0, 0, []
         self.catching_up_until = now  # after a pause or the start no member is declared gone before this
         self.last_run, self.next_probe, self.next_sync = now, now, now
@@ -117,10 +122,11 @@
         self.seeds = list(addresses)
 
     def controller_count(self, store: int, ranked: bool) -> int:
-        """The number of controllers that share the room.
+        """The number of controllers among which the free capacity is divided.
 
         This is the store's last count. While the store gives this controller no rank, it is the number of
-        members seen here if that is larger. It is never smaller, as an unseen controller may still act.
+        members seen here if that is larger. It is never smaller, as a controller that is not seen here may
+        still act.
         """
         return store if ranked else max(store, sum(1 for _ in self.members.live()))
 
@@ -138,7 +144,7 @@
         ]
 
     def leave(self, now: float) -> OutgoingDatagrams:
-        """Announce that this controller shuts down, so that the others need no suspicion."""
+        """Announce that this controller shuts down, so that the others need not suspect it first."""
         self.members.announce(msgspec.structs.replace(self.members.own, status=MemberStatus.LEFT))
         receivers = self.random.sample(self.members.others(), min(LEAVE_FANOUT, len(self.members.others())))
         return [self._send(x.host, x.port, messages.PING, self._next_sequence()) for x in receivers]
@@ -164,7 +170,7 @@
             self.next_probe = now + self._probe_interval()
             out += self._probe_next(now) + self._ping_suspects()
         if now >= self.next_sync:
-            # Alone or just resumed, sync again soon: the member that was asked may not have been running.
+            # Alone or just resumed, sync again soon: the member contacted last may not have been running.
             alone = now < self.catching_up_until or not self.members.others()
             interval = self.config.probe_interval if alone else self.config.sync_interval
             self.next_sync = now + interval * self.random.uniform(0.75, 1.25)
@@ -251,7 +257,7 @@
     # Failure detection.
 
     def _detect_pause(self, now: float) -> None:
-        """After a pause, drop what was in flight and catch up before declaring members gone."""
+        """After a pause, drop the probes in flight and catch up before declaring members gone."""
         late = now - max(self.last_run, min(self.due, now))
         gap, self.last_run = now - self.last_run, now
         if (
@@ -315,7 +321,7 @@
         """Neither the member nor the members asked for indirect probes have confirmed that it is alive."""
         del self.probes[probe.sequence]
         record = self.members.records.get(probe.number)
-        # If the helpers did not answer either, the fault may be on our side.
+        # If no helper replied at all, this member's own network may be at fault.
         silent = probe.helpers > 0 and probe.answers == 0
         self.health = min(self.config.max_health, self.health + (1 if silent else 0))
         if (
@@ -374,7 +380,10 @@
         return self._probe_next(now) if self.probe_order else []
 
     def _ping_suspects(self) -> OutgoingDatagrams:
-        """Some members ping each suspect in every round, so that one of many lost datagrams gets through."""
+        """Ping each suspect with a probability, so that some members do in every round.
+
+        Even where many datagrams are lost, one of theirs is likely to get through.
+        """
         probability = PROBERS_PER_SUSPECT / len(self.members.records)
         suspects = [self.members.records[n] for n in self.suspicions if self.random.random() < probability]
         return [
@@ -395,22 +404,22 @@
 
     def _sync(self, now: float) -> OutgoingDatagrams:
         others = [(x.host, x.port) for x in self.members.others()]
-        # Also sync with seeds that are not members: two halves of a healed partition meet again this way.
+        # Also sync with seeds that are not members: after a partition, both halves find each other this way.
         unknown = [
             a for a in self.seeds if a not in others and a != (self.members.own.host, self.members.own.port)
         ]
         receivers = [self.random.choice(group) for group in (others, unknown) if group]
         if now < self.catching_up_until and len(others) > 1:
             receivers += [self.random.choice(others)]
-        return [part for host, port in receivers for part in self._full_table(host, port, False)]
+        return [datagram for host, port in receivers for datagram in self._full_table(host, port, False)]
 
     def _full_table(self, host: str, port: int, is_reply: bool) -> OutgoingDatagrams:
-        """The whole member table, in as many SYNC datagrams as it takes."""
+        """The full member table, in as many SYNC datagrams as it takes."""
         left, out = list(self.members.records.values()), []
         while left:
             page = tuple(left[:RECORDS_PER_SYNC])
             left = left[RECORDS_PER_SYNC:]
-            # Only the last page requests the other table, so that each table is sent once per exchange.
+            # Only the last page requests the receiver's table, so that each table is sent once per exchange.
             target = SYNC_REPLY if is_reply else -1
             out.append(
                 self._send(
