--- a/herongap/state/recovery.py
+++ b/herongap/state/recovery.py
@@ -1,8 +1,8 @@
 """Recovery of viewings after a restart: reconciles the journal with the sessions that streamers hold.
 
-A journal entry is written before the effect that depends on it (a tune-in, a rung, an end). So a session at a
-streamer is in the journal or older than the journal, and a journaled effect may never have happened. Recovery
-sets up no viewing: it adopts or ends what exists.
+A journal entry is written before the effect that depends on it (starting a tune-in, setting a rung, ending a
+viewing). So each session that a streamer holds is in the journal or is older than the journal, and a
+journaled effect may never have happened. Recovery sets up no viewing: it adopts or ends what exists.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,11 +17,14 @@
 
     SENT = "sent"  # its tune-in was about to be sent; the viewer has no answer
     PLAYING = "playing"  # the viewer has its answer
-    CLOSING = "closing"  # the end was about to be sent to its streamer
+    CLOSING = "closing"  # the request that ends it was about to be sent to its streamer
 
 
 class JournaledViewing(NamedTuple):
-    """A viewing as stored in the journal. `number` is the number of its tune-in."""
+    """A viewing as stored in the journal.
+
+    `number` is the number of its tune-in; `value` is its worth, by which viewings are ordered.
+    """
 
     viewing: Id
     number: int
@@ -42,9 +45,9 @@
 class RecoveryAction(Enum):
     """What to do with a journaled viewing or a session."""
 
-    ADOPT = "adopt"  # it plays on and is controlled again
+    ADOPT = "adopt"  # it continues to play and is controlled again
     END = "end"  # end it at its streamer: it has no viewer, or it was closing
-    RELEASE = "gone"  # it has ended; its seat and load are free
+    RELEASE = "gone"  # it has ended: free its seat and its load
     WAIT = "wait"  # its streamer has not answered: the seat stays occupied and nothing is sent for it
 
 
@@ -78,7 +81,7 @@
 
 
 def _execution_order(action: tuple[RecoveryAction, Id, JournaledViewing | StreamerSession]) -> tuple:
-    """Playing viewings first, by falling value, then those that only occupy capacity."""
+    """Sort key: playing viewings first, then what only occupies capacity; within each, by falling value."""
     kind, streamer, viewing = action
     value = viewing.value if isinstance(viewing, JournaledViewing) else 0.0
     return (
