--- a/herongap/daemon/streamers.py
+++ b/herongap/daemon/streamers.py
@@ -1,6 +1,7 @@
 """The host's port to streamers: WHIP and WHEP requests in greenlets.
 
-It carries out the host's decisions and reports the results; what is sent, and when, is decided by the host.
+It implements `herongap.host.Port`: it carries out the host's decisions and reports the results. What is sent,
+and when, is decided by the host.
 """
 
 import time
@@ -40,6 +41,8 @@
     """Carries the host's decisions to streamers, and their results back to the host.
 
     `targets` holds the path template of each protocol. A tune-in is identified by (viewing, number).
+    `sessions` holds the viewings of this controller by id, `remote_sessions` the streamers' resources by
+    tune-in.
     """
 
     def __init__(self, name: str, connect_timeout: float, targets: dict[str, str], clock=time.monotonic):
@@ -51,10 +54,11 @@
         self.remote_sessions: dict[tuple[Id, int], RemoteSession] = {}
         self.pools: dict[Address, ConnectionPool] = {}
         self.subscriptions: dict[tuple[Id, str], EventSubscription] = {}
-        self.on_session_closed = lambda session, answer: None
+        self.on_session_closed = lambda session, played: None
         self.journal: Journal | None = None
         self.budgets: Budgets | None = None
-        self.is_rank_valid: Callable[[], bool] = lambda: True  # whether the rank reported last still holds
+        # Whether the last reported rank of this controller among the controllers still holds.
+        self.is_rank_valid: Callable[[], bool] = lambda: True
         self.timer = Timer(clock)
 
     # The methods of `herongap.host.Port`.
@@ -78,7 +82,7 @@
         gevent.spawn(self._tune_in, request, number, streamer, rung, timeout)
 
     def call_off(self, viewing: Id, number: int, streamer: Id) -> None:
-        """Half-close the connection of a tune-in, so that the streamer can see that it was called off."""
+        """Half-close the connection of a tune-in, so that the streamer can see that it was canceled."""
         if connection := self.tune_in_connections.get((viewing, number)):
             connection.half_close()
 
@@ -92,7 +96,7 @@
             gevent.spawn(self._set_rung, session, number)
 
     def tear_down(self, viewing: Id, number: int, streamer: Id, wanted: bool) -> None:
-        """Delete a session at its streamer; the host is told when that is done, if it is `wanted`."""
+        """Delete a session at its streamer, and report to the host when that is done if it is `wanted`."""
         if wanted:
             self._write_journal(viewing, ViewingStage.CLOSING)
         gevent.spawn(self._tear_down, viewing, number, streamer, wanted)
@@ -115,7 +119,7 @@
         session.answered.set()
 
     def forget(self, session: Session, played: bool = True) -> None:
-        """Drop a session that is over, and wake whoever waits for its answer or its end."""
+        """Drop a session that was rejected or (`played`) has ended, and wake all that wait for either."""
         del self.sessions[session.viewing]
         if self.journal:
             self.journal.drop(session.viewing)
@@ -124,7 +128,7 @@
         session.closed.set()
 
     def viewing_ended(self, viewing: Id, reason: EndReason) -> None:
-        """Close the session of a viewing that played and has ended."""
+        """Drop the session of a viewing that played and has ended."""
         if session := self.sessions.get(viewing):
             log.info(
                 "ended",
@@ -187,15 +191,13 @@
         try:
             if session is None:
                 return
-            # A new connection: on a reused one, a reset could not be distinguished from one that came before
-            # the request was read, and whether the request ran decides whether the package may repeat it.
+            # A new connection: a reused one may have been reset before the request was read, which could not
+            # be told from a later reset. Whether the request ran decides if the package allows a retry.
             connection = ClientConnection(self.addresses[streamer], min(self.connect_timeout, 0.9 * timeout))
             if not self._may_send(viewing, number):
                 connection.close()
-                reason, load = (
-                    EndReason.FULL,
-                    LoadReport(),
-                )  # not sent, so nothing counts against the streamer
+                # It was not sent, so nothing counts against the streamer.
+                reason, load = EndReason.FULL, LoadReport()
                 return
             self.tune_in_connections[tune_in] = connection
             target = self.targets[session.protocol].format(
@@ -213,7 +215,7 @@
             )
             reason, confirmed = EndReason.BROKEN, False
             reply = connection.receive(timeout + LATE_ANSWER_SECONDS)
-            reason, load, remote = self._read(streamer, target, reply)
+            reason, load, remote = self._read_tune_in_reply(streamer, target, reply)
             confirmed = reply.status != 201 and reply.status < 500 or reason is EndReason.FULL
             if remote:
                 self.remote_sessions[tune_in] = session.remote = remote
@@ -238,16 +240,17 @@
                 self.host.ended(self.clock(), viewing, number, reason, load)
 
     def _may_send(self, viewing: Id, number: int) -> bool:
-        """Check just before sending that a tune-in is still allowed: time has passed since its decision."""
+        """Return whether a tune-in may still be sent, as time has passed since it was decided."""
         if not self.host.sendable(viewing, number, self.clock(), self.is_rank_valid()):
             return False
         return self.budgets is None or self.budgets.may_send((viewing, number))
 
     def _release_budgets(self, tune_in: tuple[Id, int], confirmed: bool = True) -> None:
+        """Stop counting a tune-in; `confirmed` if the streamer certainly does not play it."""
         if self.budgets:
             self.budgets.ended(tune_in, confirmed)
 
-    def _read(
+    def _read_tune_in_reply(
         self, streamer: Id, target: str, reply: Reply
     ) -> tuple[EndReason, LoadReport | None, RemoteSession | None]:
         """Read the reply to a tune-in; the end reason counts only where there is no remote session."""
@@ -258,7 +261,8 @@
         if reply.status == 503:
             return EndReason.FULL, load, None
         if reply.status in (404, 429):
-            # The streamer is healthy and only cannot play this title: nothing counts against its link.
+            # The streamer is healthy and only cannot play this title. With an empty load report, nothing
+            # counts against its link.
             return EndReason.FULL, load or LoadReport(), None
         if reply.status in (400, 406, 415, 422):
             # The offer is invalid. If this counted against streamers, one client could have them all
@@ -344,7 +348,7 @@
             self.pools[address] = ConnectionPool(address, self.connect_timeout)
         return self.pools[address]
 
-    # Event streams: one per address that a streamer names, shared by the viewings that name it.
+    # Event streams: one per address that streamers name, shared by the sessions that name it.
 
     def follow_events(self, remote: RemoteSession) -> None:
         """Subscribe to the event stream of a session, unless that is done already."""
@@ -384,8 +388,8 @@
         playing = self.host.playing_at(streamer)
         log.warning("streamer lost", streamer=streamer, viewings=len(playing), cause=cause)
         for viewing, number in playing:
-            # The streamer may only be cut off from here: it must release the sessions, which are no longer
-            # controlled.
+            # The streamer may still run and only be cut off from this controller. Then it must release its
+            # sessions, as they are no longer controlled.
             self.tear_down(viewing, number, streamer, False)
             self.host.ended(self.clock(), viewing, number, EndReason.BROKEN)
 
