--- a/herongap/daemon/session_service.py
+++ b/herongap/daemon/session_service.py
@@ -32,8 +32,10 @@
 class SessionRequest(NamedTuple):
     """A protocol handler's request for a session.
 
-    Requests with the same `repeat_key` are one viewing, and must then also have the same `digest`. `offer`,
-    of type `media_type`, is sent to the streamer. `patience` is in seconds.
+    Requests with the same `repeat_key` are one viewing, and must then also have the same `digest`. `holders`
+    are the streamers that have the title, `owner` is the name of the caller's token. `offer`, of type
+    `media_type`, is sent to the streamer. `patience` is how many seconds the viewer waits for an answer.
+    `top` is the highest rung that it wants, in digits; with any other text the package's own limit applies.
     """
 
     protocol: str
@@ -62,7 +64,7 @@
         self.catalogue, self.clock = catalogue, clock
         self.repeats = RepeatDetector(site.front.remember, MAX_REMEMBERED_REQUESTS)
         self.packages = {p.name: p for p in site.deployment.packages}
-        self.setting_up = 0
+        self.setting_up = 0  # sessions that have no answer yet
         self.on_session_closed: list[Callable[[Session], None]] = []
         self._ids = count(1)
         port.on_session_closed = self._session_closed
@@ -79,7 +81,7 @@
             return problem("no-credentials", headers=challenge)
         found = None
         for name, token in self.site.tokens.items():
-            # All tokens are compared, each in constant time, so that timing does not reveal a partial match.
+            # All tokens are compared, each in constant time, so that timing does not reveal how much matched.
             if hmac.compare_digest(token.secret.encode(), credentials.encode("utf-8", "replace")):
                 found = name
         if found is None:
@@ -129,7 +131,7 @@
 
     def _create(self, request: SessionRequest, peer: Peer) -> Session:
         package = self.packages[request.package]
-        # With a journal, ids contain the incarnation: those of the previous process may still be playing.
+        # With a journal, ids contain the incarnation: viewings of the previous process may still be playing.
         incarnation = f".{self.port.journal.incarnation}" if self.port.journal else ""
         viewing = f"v{self.site.front.number}{incarnation}-{next(self._ids)}"
         session = Session(
@@ -177,7 +179,7 @@
         finally:
             session.waiters -= 1
             if not session.waiters and peer.gone:
-                # The viewer may return with the same offer, which must not be set up a second time.
+                # The viewer may reconnect with the same offer, which must then not be set up a second time.
                 gevent.spawn_later(self.site.front.linger, self._abandon, session)
         answer = session.answer
         if answer.verdict == "plays":
@@ -187,11 +189,12 @@
         if answer.cause is EndReason.NOT_SENT:
             return problem("offer-refused")
         if answer.verdict == "blocked":
-            wait = [("Retry-After", str(math.ceil(answer.come_back)))] if answer.come_back else []
-            return problem("blocked", headers=wait, come_back=answer.come_back)
+            headers = [("Retry-After", str(math.ceil(answer.come_back)))] if answer.come_back else []
+            return problem("blocked", headers=headers, come_back=answer.come_back)
         return problem("aborted", cause=answer.cause.name.lower() if answer.cause else "none")
 
     def _abandon(self, session: Session) -> None:
+        """Report to the host that the viewer has left, unless it has reconnected by now."""
         if not session.waiters:
             self.host.left(self.clock(), session.viewing)
 
