--- a/herongap/daemon/etcd.py
+++ b/herongap/daemon/etcd.py
@@ -1,4 +1,4 @@
-"""The gevent client of etcd: carries requests and replies for `herongap.etcd`, which makes the decisions."""
+"""The gevent client of etcd: carries out the network I/O for `herongap.etcd`, which makes the decisions."""
 
 import time
 from collections.abc import Callable
@@ -28,9 +28,11 @@
 from herongap.etcd.keys import update_value
 from herongap.ini.sections import EtcdSection
 
-RANK_CHECK_SECONDS = (
-    0.1  # between two checks whether the lease still holds; the lease's CLOCK_MARGIN_SECONDS covers it
-)
+# Between two checks whether the lease still holds; `herongap.etcd.membership.CLOCK_MARGIN_SECONDS` covers it.
+RANK_CHECK_SECONDS = 0.1
+# Shortest and longest pause between two checks whether a lease request is due.
+MIN_LEASE_PAUSE_SECONDS = 0.01
+MAX_LEASE_PAUSE_SECONDS = 0.2
 PAGE_SIZE = 1000  # keys in one page of a read
 REVOKE_TIMEOUT_SECONDS = 0.5
 NETWORK_ERRORS = (OSError, PeerDisconnectedError, h11.RemoteProtocolError, EtcdError, m.MalformedReplyError)
@@ -108,13 +110,13 @@
         self.on_list_change, self.on_rank_change = on_list_change, on_rank_change
         self.client = EtcdClient(settings, name)
         self.endpoints = EndpointSelector(settings.endpoints, seed)
-        # Separate for writes: a member cut off from its peers still serves what it had, but takes no writes.
+        # Separate for writes: a member cut off from its peers still serves its data, but takes no writes.
         self.write_endpoints = EndpointSelector(settings.endpoints, seed)
         self.follower = PrefixFollower()
         self.directory = RegistryState(settings.prefix, epoch_on_clock(clock))
         self.membership = Membership(number, expected, settings.ttl)
         self.claim_key = f"{settings.prefix}controllers/{number}"
-        self.claim_revision, self.renewal_failing = -1, False
+        self.claim_revision, self.renewal_failing = -1, False  # -1: no claim yet
         callbacks = self._commit, NETWORK_ERRORS, self._live_claims, on_room_change
         self.budgets = budgets and Budgets(
             budgets, settings.prefix, number, settings.ttl, seed, clock, *callbacks
@@ -230,8 +232,8 @@
                 except TimeoutError:
                     if not self.follower.watching:
                         raise
-                    # Either nothing has changed, or the member is cut off from the others and cannot know. A
-                    # new watch, at another member, misses nothing.
+                    # Either nothing has changed, or the member is cut off from the others and receives no
+                    # changes. A new watch, at another member, misses none.
                     self.endpoints.mark_silent(address)
                     return
                 if chunk is None:
@@ -282,7 +284,9 @@
     def _publish(self, kind: str, first: bool = False) -> None:
         """Report changes of the list.
 
-        A "whole" list is complete, so that missing streamers count as removed.
+        `kind` is "changes" for the changed entries only, "remembered" for the cached list, or "whole" for the
+        complete list, in which missing streamers count as removed. `first` means that no list was known
+        before.
         """
         if self._has_unpublished:
             kind = "whole"  # an error came after changes were taken and before they were reported
@@ -295,7 +299,7 @@
         touched = self.directory.apply(self.clock(), changes, first)
         entries = self.directory.entries(touched) if kind == "changes" else self.directory.all_entries()
         if touched or kind != "changes":
-            # Addresses of the reported entries only: a list of thousands changes a thousand times a second.
+            # Reported entries only: a list of thousands of streamers may change a thousand times a second.
             self.on_list_change(kind, entries, self.directory.addresses(entry.streamer for entry in entries))
         self._has_unpublished = False
         self._update_rank()
@@ -319,7 +323,12 @@
                 except Exception:
                     self.membership.request_failed(self.clock())
                     log.exception("internal error while keeping the lease", step=step.value)
-            gevent.sleep(min(0.2, max(0.01, self.membership.next_due - self.clock())))
+            gevent.sleep(
+                min(
+                    MAX_LEASE_PAUSE_SECONDS,
+                    max(MIN_LEASE_PAUSE_SECONDS, self.membership.next_due - self.clock()),
+                )
+            )
 
     def _recheck_rank(self) -> None:
         """Update the rank periodically: a lease expires with time, also while its renewal hangs."""
@@ -351,7 +360,7 @@
                 self.renewal_failing = False
 
     def _write(self, path: str, body: bytes, kind: type):
-        """Send a request that changes something, to a member that took the last one."""
+        """Send a request that changes something, to the member that accepted the last one if possible."""
         address = self.write_endpoints.choose(self.clock())
         try:
             reply = self.client.call(address, path, body, kind)
@@ -362,7 +371,7 @@
         return reply
 
     def _commit(self, body: bytes) -> m.TxnResponse:
-        """Send a transaction; an answer of another cluster counts as none."""
+        """Send a transaction; a reply from another cluster is an error, as if none had come."""
         reply = self._write("/v3/kv/txn", body, m.TxnResponse)
         if reply.header.cluster_id != self.follower.cluster:
             raise m.MalformedReplyError(f"another cluster: {reply.header.cluster_id:x}")
@@ -377,8 +386,9 @@
         return {key.removeprefix(start): item.create_revision for key, item in found if key.startswith(start)}
 
     def is_rank_valid(self) -> bool:
-        """Return whether the rank reported last still holds; a process that was stopped checks before it
-        acts.
+        """Return whether the rank reported last still holds.
+
+        To be checked before each effect: the process may have been suspended for longer than its lease.
         """
         return (
             self.controller_rank is None
@@ -387,6 +397,7 @@
         )
 
     def _update_rank(self) -> None:
+        """Pass the state of the lease to the budgets, and report this controller's rank if it has changed."""
         if self.budgets:
             held = self.membership.holds_number(self.clock())
             self.budgets.lease_changed(
@@ -412,8 +423,9 @@
             self.cache.save(f.cluster, f.revision, f.items)
 
     def close(self) -> None:
-        """Revoke the lease, if that can be done at once, so that a next process gets the number; save the
-        list.
+        """Save the list, and revoke the lease if that is possible at once.
+
+        The next process can then claim the controller number without waiting for the lease to expire.
         """
         if self._stream:
             self._stream.close()
