--- a/herongap/fleet/checker.py
+++ b/herongap/fleet/checker.py
@@ -22,6 +22,8 @@
 DRAIN_GRACE_SECONDS = 0.25
 # Time within which the earlier of two sessions of a viewing must have been torn down.
 DUPLICATE_TEARDOWN_SECONDS = 3.0
+# Time after a fault has silenced a streamer during which the fault still excuses a late teardown there.
+SILENCE_EXCUSE_SECONDS = 30
 
 
 def check(outcome: Outcome) -> list[Violation]:
@@ -37,7 +39,7 @@
 
 
 def answers(run: ObservedRun) -> Iterator[Violation]:
-    """Rule 1: a request that a running controller accepted gets one answer before the viewer gives up."""
+    """Rule 1: a request accepted by a running controller gets exactly one answer before the viewer leaves."""
     by_offer: dict[tuple, list[ObservedRequest]] = defaultdict(list)
     for request in run.requests:
         killed = run.killed_at.get(request.controller_port, float("inf"))
@@ -121,20 +123,25 @@
 def _repeats(run: ObservedRun, identity: str, terms, tune_ins: list[ObservedTuneIn]) -> Iterator[Violation]:
     """Violations of the terms for repeated set-ups of one viewing."""
     # A tune-in rejected as full or unknown certainly set nothing up; any other may have.
-    ran = [
+    possible_set_ups = [
         tune_in
         for tune_in in tune_ins
         if not (tune_in.outcome == "refused" and tune_in.status in (404, 422, 503))
     ]
-    for earlier in ran:
+    for earlier in possible_set_ups:
         for later in tune_ins:
             if later.begin > earlier.begin and not _recognised(run, terms, earlier, later):
                 what = f"sent again to {later.streamer} though {earlier.streamer} may have set it up"
                 yield run.violation(2, later.begin, what, identity)
     for request in run.requests:
-        over_all = terms.repeat == "in_group" and terms.group == "all"
-        came_after = [tune_in for tune_in in ran if tune_in.begin < request.answered_at]
-        if request.identity == identity and request.kind == "blocked" and not over_all and came_after:
+        detected_everywhere = terms.repeat == "in_group" and terms.group == "all"
+        set_ups_before = [tune_in for tune_in in possible_set_ups if tune_in.begin < request.answered_at]
+        if (
+            request.identity == identity
+            and request.kind == "blocked"
+            and not detected_everywhere
+            and set_ups_before
+        ):
             yield run.violation(
                 2, request.answered_at, f"{request.name}: told to retry though a session may exist", identity
             )
@@ -249,11 +256,11 @@
                 (max(end - CLOCK_SLACK_SECONDS, tune_in.begin + 1e-6), -1, identity),
             ]
     for (controller, title, package), changes in steps.items():
-        allowed, now = run.day.packages[package].seats, 0
+        allowed, used = run.day.packages[package].seats, 0
         for at, change, identity in sorted(changes):
-            now += change
-            if change > 0 and now > allowed:
-                what = f"{controller} has {now} viewings of title {title}, {package} has {allowed} seats"
+            used += change
+            if change > 0 and used > allowed:
+                what = f"{controller} has {used} viewings of title {title}, {package} has {allowed} seats"
                 yield run.violation(5, at, what, identity)
 
 
@@ -273,16 +280,17 @@
         sent.sort()
         accepted_at = sorted(accepted[_controller_number(controller)])
         for i, (at, identity) in enumerate(sent):
-            # A controller sees both a little earlier or later than the other ends of its sockets.
-            seconds = settings.extra_window / run.clock_rates[_controller_number(controller)]
-            window = sum(1 for t, _ in sent[: i + 1] if t > at - seconds + CLOCK_SLACK_SECONDS)
+            # Streamers and clients logged these times. At the controller, the other end of their sockets, the
+            # same events happened a little earlier or later.
+            window_seconds = settings.extra_window / run.clock_rates[_controller_number(controller)]
+            repeat_count = sum(1 for t, _ in sent[: i + 1] if t > at - window_seconds + CLOCK_SLACK_SECONDS)
             accepted_count = sum(
                 1
                 for t in accepted_at
                 if at - settings.extra_window - CLOCK_SLACK_SECONDS < t <= at + CLOCK_SLACK_SECONDS
             )
-            if window > settings.extra_free + settings.extra_share * accepted_count:
-                what = f"{controller}: {window} repeated tune-ins in {settings.extra_window:g} s, "
+            if repeat_count > settings.extra_free + settings.extra_share * accepted_count:
+                what = f"{controller}: {repeat_count} repeated tune-ins in {settings.extra_window:g} s, "
                 what += f"{accepted_count} requests accepted"
                 yield run.violation(6, at, what, identity)
 
@@ -293,5 +301,8 @@
 
 
 def _silenced(run: ObservedRun, session: ObservedSession) -> bool:
-    """Whether a fault that silences the streamer began at most 30 s before the session or during it."""
-    return any(at < session.end and at + 30 > session.begin for at in run.silenced_at[session.streamer])
+    """Whether a fault that silences the streamer began less than 30 s before the session, or during it."""
+    return any(
+        at < session.end and at + SILENCE_EXCUSE_SECONDS > session.begin
+        for at in run.silenced_at[session.streamer]
+    )
