--- a/herongap/fleet/model.py
+++ b/herongap/fleet/model.py
@@ -36,6 +36,8 @@
 CLIENT_DELAY_SECONDS = 0.0015
 # One-way delay between a controller and a streamer, with the time that both need to process a message.
 STREAMER_DELAY_SECONDS = 0.0012
+# A lower delivered share is reported.
+SHORT_DELIVERY_SHARE = 0.98
 
 
 class PendingTuneIn(NamedTuple):
@@ -48,7 +50,7 @@
 
 
 class SimulatedController:
-    """One controller process, and the host's port to the simulated streamers."""
+    """One controller process. It is also the port through which its host reaches the simulated network."""
 
     def __init__(self, model: "Model", number: int, site: SiteConfig, seed: int, controller_type: Callable):
         self.model, self.number, self.site = model, number, site
@@ -284,7 +286,9 @@
             self.machine.change_rung(self.clock.now, session, rung)
 
     def delete_session(self, controller: SimulatedController, viewing: Id, number: int, wanted: bool) -> None:
-        """Handles a teardown; confirms it if `wanted`, or lets it time out if the streamer is unreachable."""
+        """Handles a teardown. If `wanted`, the controller learns of its end: at once if the streamer answers
+        or its process has ended, by a timeout if the streamer is muted.
+        """
         session = controller.sessions.pop((viewing, number), None)
         if session and self.running and self.muted(controller) and session.name in self.machine.sessions:
             self.log("let-go", identity=session.identity, session=session.name)
@@ -297,7 +301,7 @@
             self.clock.after(delay, controller.torn_down, viewing, number)
 
     def end_session(self, session: Session, reason: str, notify: bool = True) -> None:
-        """Ends a session, and with `notify` tells its controller."""
+        """Ends a session, and with `notify` reports this to its controller."""
         totals = self.machine.end_session(self.clock.now, session)
         if totals is None:
             return
@@ -378,16 +382,16 @@
         load_due = now >= self.next_load_report_at
         if load_due:
             self.next_load_report_at = now + profile.tell
-        if self.running and (load_due or share < 0.98 or self.share_was_short):
+        if self.running and (load_due or share < SHORT_DELIVERY_SHARE or self.share_was_short):
             load = self.machine.load_report(now - delay) if load_due else None
             for name in sorted({session.front for session in self.machine.sessions.values()}):
                 controller = self.model.controllers_by_name.get(name)
                 if controller and not self.muted(controller):
-                    if (share < 0.98 or self.share_was_short) and self._report_delivered():
+                    if (share < SHORT_DELIVERY_SHARE or self.share_was_short) and self._report_delivered():
                         self.clock.after(STREAMER_DELAY_SECONDS, controller.share_reported, self.name, share)
                     if load and self._report_delivered():
                         self.clock.after(STREAMER_DELAY_SECONDS, controller.load_reported, self.name, load)
-        self.share_was_short = share < 0.98
+        self.share_was_short = share < SHORT_DELIVERY_SHARE
 
     def _report_delivered(self) -> bool:
         """Draws whether one report is delivered; the fault `notes_lost` drops a part of them."""
@@ -478,6 +482,7 @@
             self._renew_consent(session, self.clock.now)
         elif answer.verdict in ("blocked", "aborted"):
             self._log_answer(503 if answer.verdict == "blocked" else 502, answer.verdict)
+            # Rounded up, as the Retry-After header has whole seconds.
             self._retry_later(-(-answer.come_back // 1) if answer.come_back else 0.0)
 
     def _renew_consent(self, session: Session, last_answer_at: float) -> None:
@@ -615,8 +620,8 @@
         if self.ticks % int(1 / TICK_SECONDS) == 0:
             for streamer in self.streamers.values():
                 streamer.send_reports()
-        held = sum(len(m.machine.sessions) for m in self.streamers.values())
-        self.held_most, self.held_sum = max(self.held_most, held), self.held_sum + held
+        session_count = sum(len(streamer.machine.sessions) for streamer in self.streamers.values())
+        self.held_most, self.held_sum = max(self.held_most, session_count), self.held_sum + session_count
         self.clock.after(TICK_SECONDS, self._tick)
 
     # Steps of troubles, with the same effects as in a rehearsal.
@@ -672,8 +677,8 @@
                 client._log_answer(0, "broken")
                 client._retry_later(0.0)
         self.clock.after(CONTROLLER_GONE_SECONDS, self._controller_gone, controller)
-        for (viewing, number_), tune_in in list(controller.pending.items()):
-            self.streamers[tune_in.streamer].cancel_set_up(controller, viewing, number_)
+        for (viewing, tune_in_number), tune_in in list(controller.pending.items()):
+            self.streamers[tune_in.streamer].cancel_set_up(controller, viewing, tune_in_number)
 
     def _send_controller_counts(self) -> None:
         """Sends each controller its rank and the number of controllers with a lease. The lease of a killed
