--- a/herongap/fleet/budget_simulation.py
+++ b/herongap/fleet/budget_simulation.py
@@ -1,10 +1,10 @@
 """A simulation, in virtual time, of controllers that divide budgets through a store under faults.
 
 The shipped state machines run unchanged (`etcd.Membership`, `accord.BudgetShare`); the store, the network,
-pauses and what is held at streamers are modelled here. Each process has its own clock, which runs fast or
-slow. Messages are late, lost and duplicated; processes are paused, killed and started; the store is
-unavailable, or restored from a backup. Beside the processes the simulation keeps the actual use and the
-allotments of each revision; `violations` lists every moment at which one of them was above its limit.
+pauses and the use of the budgets at streamers are modelled here. Each process has its own clock, which runs
+fast or slow. Messages are late, lost and duplicated; processes are paused, killed and started; the store is
+unavailable, or restored from a backup. Independently of the processes, the simulation records the actual use
+and the allotments of each revision; `violations` lists every moment at which one of them was above its limit.
 """
 
 from collections import deque
@@ -40,7 +40,11 @@
 
 
 class SimulatedStore:
-    """Documents by name and controller numbers by lease, under one revision, with a backup to restore."""
+    """Budget documents, leases and claimed controller numbers under one revision, with a backup to restore.
+
+    `documents` has the version and data of each name, `numbers` the revision and lease of each claimed
+    number, `leases` the time at which each lease expires.
+    """
 
     def __init__(self):
         self.revision, self.documents, self.numbers, self.leases = 1, {}, {}, {}
@@ -141,15 +145,17 @@
         def serve() -> tuple:
             if restore_count != self.simulation.restore_count:
                 return False, *store.documents.get(name, (0, None)), store.revision
-            won, version, data = store.commit(name, commit.base_version, commit.data)
-            if won:
+            committed, version, data = store.commit(name, commit.base_version, commit.data)
+            if committed:
                 self.simulation.document_written(name)
-            return won, version, data, store.revision
+            return committed, version, data, store.revision
 
         def handle_reply(reply: tuple) -> None:
-            won, version, data, revision = reply
+            committed, version, data, revision = reply
             if restore_count == self.restore_count == self.simulation.restore_count:
-                share.handle_reply(self.clock(), commit, version if won else revision, won, version, data)
+                share.handle_reply(
+                    self.clock(), commit, version if committed else revision, committed, version, data
+                )
 
         self.simulation.request(
             self, serve, handle_reply, lambda: share.handle_unknown_outcome(self.clock(), commit)
@@ -215,8 +221,8 @@
         self.demand = {number: demand for number in range(count)}
         self.arrivals = {number: Random(f"{seed}:{number}") for number in range(count)}
         self.processes: dict[int, Process] = {}
-        # The actual state: items in use by their process (also a dead one's), start times of the rate
-        # budgets, and the limit of each budget.
+        # The actual state: the items in use, each with the process that started it, which may be dead; the
+        # start times of the rate budgets; the limit of each budget.
         self.held: dict[str, dict[int, Process]] = {t.name: {} for t in terms}
         self.start_times: dict[str, deque] = {t.name: deque() for t in terms}
         self.limits = {t.name: t.limit for t in terms}
@@ -378,7 +384,8 @@
 
     def _resume(self, process: Process) -> None:
         process.paused = False
-        # After a pause the order is open: a viewer waiting in the sockets, messages received, own timers.
+        # After a pause, viewers waiting in the sockets, received messages and timers come in any order: in
+        # half of the cases a viewer's request is handled before the messages.
         if process.alive and self.random.random() < 0.5:
             self._request_all(process)
         while process.undelivered and process.alive:
@@ -394,7 +401,7 @@
     # Arrivals and use.
 
     def _schedule_arrival(self, process: Process) -> None:
-        # Arrivals have random streams of their own, so that they are the same however requests fare.
+        # Arrivals have random streams of their own, so that they do not depend on the outcome of requests.
         gap = self.arrivals[process.number].expovariate(1) / max(0.01, self.demand[process.number])
         self.after(gap, self._arrive, process)
 
