--- a/herongap/standins/streamer.py
+++ b/herongap/standins/streamer.py
@@ -22,14 +22,14 @@
 from herongap.whip import EVENTS_EXTENSION, LAYERS_EXTENSION, SessionResource, check_offer, created_reply
 
 HEARTBEAT_INTERVAL_SECONDS = 0.8  # of an event stream
-HANG_SECONDS = 600.0
+HANG_SECONDS = 600.0  # longest time that a request is left unanswered
 RECONNECT_GRACE_SECONDS = 2.0  # for a controller whose event stream has closed
 SHORT_DELIVERY_SHARE = 0.98  # a lower share is reported
 FINGERPRINT = ":".join(["5E"] * 32)
 
 
 class Streamer:
-    """Listens on loopback. `titles` are the titles that it holds, None for all."""
+    """A fake streamer that listens on loopback. `titles` are the titles that it has, None for all."""
 
     def __init__(
         self,
@@ -45,8 +45,8 @@
         self.kind, self.log, self.clock = pool.kind, pool.log, pool.clock
         self.machine = Machine(pool.kind, name, zone, pool.rack(rack), started)
         self.streams: dict[str, list[Queue]] = {}
-        self.boot = self.count = 0
-        self._short = False
+        self.boot = self.session_count = 0
+        self._share_was_short = False
         self.segments = Segments(self)
         self.address = address
         pool.add(self)
@@ -107,10 +107,11 @@
         """Ends the sessions whose viewers have left or never joined."""
         kind = self.kind
         for session in list(self.sessions.values()):
-            last = (
+            # A viewer that has not joined yet has `join_wait` from the start of the session.
+            last_consent = (
                 session.began + kind.join_wait - kind.consent if session.consent is None else session.consent
             )
-            if now - last > kind.consent:
+            if now - last_consent > kind.consent:
                 self.end(session, "viewer-gone")
 
     # Faults.
@@ -125,14 +126,14 @@
     # HTTP.
 
     def handle(self, request: Request, peer: Peer) -> Reply:
-        """Handles one request."""
-        front = request.headers.get("via", "").split(" ")[-1]
+        """Handles one request. The last entry of its Via header is the name of the controller."""
+        controller = request.headers.get("via", "").split(" ")[-1]
         path = request.path
         if len(path) == 2 and path[0] in ("whip", "whep", "dash") and request.method == "POST":
-            return self._post(path[0], path[1], request, peer, front)
+            return self._post(path[0], path[1], request, peer, controller)
         if len(path) == 5 and path[0] == "dash" and request.method == "GET":
             return self.segments.serve(path, request, peer)
-        if self.machine.muted(front):
+        if self.machine.muted(controller):
             if request.method == "DELETE" and len(path) > 1 and (target := self.sessions.get(path[1])):
                 self.log(self.name, "let-go", identity=target.identity, session=target.name)
             self._hang(peer)
@@ -153,7 +154,7 @@
             return Reply(200)
         return problem("bad-method")
 
-    def _post(self, protocol: str, title: str, request: Request, peer: Peer, front: str) -> Reply:
+    def _post(self, protocol: str, title: str, request: Request, peer: Peer, controller: str) -> Reply:
         if protocol == "dash":
             offer, identity = None, str(json.loads(request.body)["identity"])
         else:
@@ -166,7 +167,7 @@
             self.name,
             "post",
             identity=identity,
-            front=front,
+            front=controller,
             title=title,
             rung=int(layer),
             cold=self.machine.warmth(self.clock()) < 1,
@@ -174,7 +175,7 @@
         limit = self.machine.register_set_up(self.clock())
         if limit is not None:
             self.log(self.name, "fell", set_ups=len(self.machine.set_ups), most=limit)
-        if self.machine.muted(front):
+        if self.machine.muted(controller):
             self._hang(peer, identity)
         if self.titles is not None and title not in self.titles:
             return self._reject(identity, problem("no-such-title"))
@@ -190,7 +191,7 @@
         if self.machine.full():
             return self._reject(identity, problem("blocked"), self._load_header())
         viewing = request.headers.get("idempotency-key", "").strip('"')
-        return self._start(offer, identity, title, int(layer), front, protocol, peer, viewing)
+        return self._start(offer, identity, title, int(layer), controller, protocol, peer, viewing)
 
     def _delay(self, peer: Peer, delay: float, identity: str) -> bool:
         if peer.wait(self.stopped, delay) or peer.gone:
@@ -202,10 +203,10 @@
         self.log(self.name, "refused", identity=identity, status=reply.status)
         return reply._replace(headers=(*reply.headers, *headers))
 
-    def _start(self, offer, identity, title, rung, front, protocol, peer, viewing) -> Reply:
-        self.count += 1
-        name = f"{self.boot}-{self.count}"
-        session, text, tag = Session(name, identity, title, rung, front, self.clock()), "{}", f'"{name}"'
+    def _start(self, offer, identity, title, rung, controller, protocol, peer, viewing) -> Reply:
+        self.session_count += 1
+        name = f"{self.boot}-{self.session_count}"
+        session, text, tag = Session(name, identity, title, rung, controller, self.clock()), "{}", f'"{name}"'
         if offer is None:
             self.segments.by_viewing[viewing] = session
         else:
@@ -217,23 +218,30 @@
             session.resource = SessionResource(name, offer.identity[1], local)
             tag = session.resource.etag
         self.machine.start_session(self.clock(), session)
-        self.log(self.name, "started", identity=identity, session=name, front=front, title=title, rung=rung)
+        self.log(
+            self.name, "started", identity=identity, session=name, front=controller, title=title, rung=rung
+        )
         if "lose" in self.faults:
             # The session runs but its answer is lost. The caller cannot tell this from a set-up that failed.
             self.log(self.name, "unanswered", identity=identity, session=name)
             with suppress(OSError):
+                # Lingering for 0 s makes the close reset the connection.
                 peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 peer.sock.close()
             raise PeerDisconnectedError
         links = [link(f"/r/{name}/layer", LAYERS_EXTENSION)]
         if protocol != "whip":
             links.append(
-                link(f"/events/{front or '-'}", EVENTS_EXTENSION, events="active,inactive,layers,viewercount")
+                link(
+                    f"/events/{controller or '-'}",
+                    EVENTS_EXTENSION,
+                    events="active,inactive,layers,viewercount",
+                )
             )
         return created_reply(f"/r/{name}", tag, text.encode(), [*links, self._load_header()])
 
     def _endpoint(self, restart: int) -> Endpoint:
-        number = f"{self.count}x{restart}"
+        number = f"{self.session_count}x{restart}"
         host, port = self.media.getsockname()
         return Endpoint(
             f"s{number}{self.name}",
@@ -241,7 +249,7 @@
             FINGERPRINT,
             host,
             port,
-            self.boot * 1_000_000 + self.count,
+            self.boot * 1_000_000 + self.session_count,
         )
 
     def _load_header(self) -> tuple[str, str]:
@@ -284,9 +292,9 @@
             return Reply(200, (("Content-Type", "text/event-stream"),), self._stream(path[1], self.boot))
         return problem("no-such-session")
 
-    def _stream(self, front: str, boot: int):
+    def _stream(self, controller: str, boot: int):
         queue = Queue()
-        self.streams.setdefault(front, []).append(queue)
+        self.streams.setdefault(controller, []).append(queue)
         try:
             yield HEARTBEAT
             while self.running and self.boot == boot:
@@ -294,28 +302,29 @@
                     chunk = queue.get(timeout=HEARTBEAT_INTERVAL_SECONDS)
                 except Empty:
                     chunk = HEARTBEAT
-                if not self.machine.muted(front):
+                if not self.machine.muted(controller):
                     yield chunk
         finally:
-            # A controller whose stream has closed counts as gone: its sessions end unless it reconnects soon.
-            if queue in self.streams.get(front, ()):
-                self.streams[front].remove(queue)
+            # A controller whose stream has closed counts as gone: its sessions end unless it reconnects
+            # within `RECONNECT_GRACE_SECONDS`.
+            if queue in self.streams.get(controller, ()):
+                self.streams[controller].remove(queue)
             if self.running and self.boot == boot:
-                gevent.spawn_later(RECONNECT_GRACE_SECONDS, self._controller_gone, front, boot)
+                gevent.spawn_later(RECONNECT_GRACE_SECONDS, self._controller_gone, controller, boot)
 
-    def _controller_gone(self, front: str, boot: int) -> None:
+    def _controller_gone(self, controller: str, boot: int) -> None:
         if (
             self.running
             and self.boot == boot
-            and not self.streams.get(front)
-            and not self.machine.muted(front)
+            and not self.streams.get(controller)
+            and not self.machine.muted(controller)
         ):
-            for session in [session for session in self.sessions.values() if session.front == front]:
+            for session in [session for session in self.sessions.values() if session.front == controller]:
                 self.end(session, "front-gone")
 
-    def _send_event(self, name: str, data: dict, front: str | None = None) -> None:
+    def _send_event(self, name: str, data: dict, controller: str | None = None) -> None:
         for recipient, queues in self.streams.items():
-            if front in (None, recipient):
+            if controller in (None, recipient):
                 for queue in queues:
                     queue.put(write_event(name, data))
 
@@ -325,8 +334,8 @@
             self._send_event(name, data)
 
     def _report_load(self) -> None:
-        """Reports the load every `tell` seconds, and the delivered share each second while it is short and
-        once after.
+        """Reports the load every `tell` seconds, and the delivered share each second while it is below
+        `SHORT_DELIVERY_SHARE` and once after it has recovered.
         """
         next_load = self.clock() + self.pool.random.uniform(0, self.kind.tell)
         while True:
@@ -334,9 +343,9 @@
             delay = self.kind.told_late + self.faults.get("late", {}).get("by", 0.0)
             now = self.clock()
             share = self.machine.share_at(now - delay)
-            if share < SHORT_DELIVERY_SHARE or self._short:
+            if share < SHORT_DELIVERY_SHARE or self._share_was_short:
                 self._send_report("delivery", {"share": round(share, 4)})
-            self._short = share < SHORT_DELIVERY_SHARE
+            self._share_was_short = share < SHORT_DELIVERY_SHARE
             if now >= next_load:
                 next_load = now + self.kind.tell
                 load = self.machine.load_report(now - delay)
