--- a/herongap/rehearsal/stage.py
+++ b/herongap/rehearsal/stage.py
@@ -155,7 +155,8 @@
                 self.etcd = Etcd(STORE_MEMBERS, time.monotonic, self.log)
                 fill(self.etcd.history, PREFIX, {name: self._streamer_value(name) for name in self.entries})
                 for name, budget in self.day.budgets.items():
-                    # Created as by an operator. Controllers that create one first count usage for its linger.
+                    # Created in advance, as by an operator: a controller that creates a budget counts its use
+                    # for the budget's `linger` first.
                     document = with_limit(None, budget.whole, unused=True)
                     self.etcd.history.put(f"{PREFIX}budgets/{name}".encode(), document)
                 self._log_list()
@@ -321,8 +322,10 @@
         self.log("stage", "listed", gone=self.listing.unavailable(), by=self.day.settings.list_by)
 
     def _write_list(self) -> None:
-        shown = self.listing.visible()
-        entries = [self.entries[n] | {"standing": status, "started": start} for n, status, start in shown]
+        visible = self.listing.visible()
+        entries = [
+            self.entries[name] | {"standing": status, "started": started} for name, status, started in visible
+        ]
         new_file = self.folder / "streamers.json.new"
         new_file.write_text(json.dumps({"streamers": entries}))
         os.replace(new_file, self.folder / "streamers.json")
@@ -340,7 +343,7 @@
         )
 
     def _members(self, number: int) -> list[str]:
-        """Returns the addresses of the store's members for a controller: of one relay to each."""
+        """Returns the store addresses for a controller: those of its relays, one to each store member."""
         for i, member in enumerate(self.etcd.members):
             if (number, i) not in self.relays:
                 self.relays[number, i] = Relay(member.address)
@@ -349,52 +352,52 @@
     # Viewers.
 
     def _run_viewer(self, arrival: Arrival) -> None:
-        draw = random.Random(f"viewer {arrival.name} {self.seed}")
+        rng = random.Random(f"viewer {arrival.name} {self.seed}")
         self.log(arrival.name, "wants", package=arrival.package, title=arrival.title, seconds=arrival.length,
                  top=arrival.top)  # fmt: skip
-        # A hash of the name chooses among several protocols, the same in every run.
+        # If the package has several protocols, a hash of the name chooses one, the same in every run.
         protocols = self.day.packages[arrival.package].protocol
         protocol = protocols[zlib.crc32(arrival.name.encode()) % len(protocols)]
         if protocol == "dash":
-            self._run_player(arrival, draw)
+            self._run_player(arrival, rng)
             return
         target = f"/{protocol}/{arrival.title}?package={arrival.package}&top={arrival.top}"
         direction = "recvonly" if protocol == "whep" else "sendonly"
         viewer = Viewer(arrival.name, ("", 0), target, self.log, self.seed, direction=direction)
         remaining = arrival.length
         for _ in range(self.day.clients.tries):
-            viewer.front = self._choose_controller(arrival, draw)
+            viewer.front = self._choose_controller(arrival, rng)
             if viewer.front is None:
-                gevent.sleep(draw.uniform(*RETRY_DELAY_SECONDS))
+                gevent.sleep(rng.uniform(*RETRY_DELAY_SECONDS))
                 continue
-            result = self._attempt(viewer, arrival, draw)
+            result = self._attempt(viewer, arrival, rng)
             if result is None:
                 return  # the viewer hung up
-            wait = draw.uniform(*RETRY_DELAY_SECONDS)
+            wait = rng.uniform(*RETRY_DELAY_SECONDS)
             if result.status == 201:
                 began = time.monotonic()
                 if arrival.habit == "trickles":
-                    gevent.spawn(self._trickle, viewer, draw.random())
+                    gevent.spawn(self._trickle, viewer, rng.random())
                 if viewer.play(remaining):
                     viewer.delete()
                     return
                 self.log(arrival.name, "lost", identity=viewer.identity)
                 viewer.delete()
                 remaining -= time.monotonic() - began
-            if remaining < MIN_RETRY_SECONDS or draw.random() >= self.day.clients.returns:
+            if remaining < MIN_RETRY_SECONDS or rng.random() >= self.day.clients.returns:
                 return
             if result.reply is not None:
                 wait = max(wait, float(result.reply.header("retry-after") or 0.0))
             gevent.sleep(wait)
             viewer.new_offer()
 
-    def _run_player(self, arrival: Arrival, draw: random.Random) -> None:
+    def _run_player(self, arrival: Arrival, rng: random.Random) -> None:
         """Runs a DASH player, which retries as viewers do, at another controller if its own has ended."""
         target = f"/dash/{arrival.title}?package={arrival.package}&top={arrival.top}"
         player = Player(arrival.name, ("", 0), target, self.log, self.seed)
         patience, end = self.day.packages[arrival.package].patience, time.monotonic() + arrival.length
         for _ in range(self.day.clients.tries):
-            address = self._choose_controller(arrival, draw)
+            address = self._choose_controller(arrival, rng)
             if address is not None:
                 if address != player.front:
                     player.front = address
@@ -403,18 +406,19 @@
                 if reply is not None and reply.status == 200 and player.play(end - time.monotonic()):
                     player.delete()
                     break
-                if draw.random() >= self.day.clients.returns:
+                if rng.random() >= self.day.clients.returns:
                     break
                 wait = float(reply.header("retry-after") or 0.0) if reply is not None else 0.0
-                gevent.sleep(max(wait, draw.uniform(*RETRY_DELAY_SECONDS)))
+                gevent.sleep(max(wait, rng.uniform(*RETRY_DELAY_SECONDS)))
             else:
-                gevent.sleep(draw.uniform(*RETRY_DELAY_SECONDS))
+                gevent.sleep(rng.uniform(*RETRY_DELAY_SECONDS))
             if end - time.monotonic() < MIN_RETRY_SECONDS:
                 break
         self.log(arrival.name, "watched", played=round(player.played, 2), stalled=round(player.stalled, 2),
                  moves=player.moves, rungs=player.rungs, statuses=player.statuses)  # fmt: skip
 
     def _join(self, player: Player, arrival: Arrival, patience: float):
+        """Requests or refreshes a session, as the viewer's habit says; returns the reply, or None."""
         if arrival.habit in ("repeats", "doubles"):
             # A second tab, or a retry while the first request is pending.
             second = gevent.spawn(player.join, patience)
@@ -423,20 +427,21 @@
             return reply
         return player.refresh(patience) if player.location else player.join(patience)
 
-    def _choose_controller(self, arrival: Arrival, draw: random.Random) -> Address | None:
+    def _choose_controller(self, arrival: Arrival, rng: random.Random) -> Address | None:
         """Chooses a running controller, preferably of the viewer's zone, as a load balancer does."""
         running = [n for n, address in self.controllers.items() if address]
         local = [n for n in running if n % self.day.settings.zones == arrival.zone]
-        return self.controllers[draw.choice(local or running)] if running else None
+        return self.controllers[rng.choice(local or running)] if running else None
 
-    def _attempt(self, viewer: Viewer, arrival: Arrival, draw: random.Random):
+    def _attempt(self, viewer: Viewer, arrival: Arrival, rng: random.Random):
+        """Posts an offer, as the viewer's habit says; returns the result, or None if the viewer left."""
         patience = self.day.packages[arrival.package].patience
         if arrival.habit == "leaves":
-            result = viewer.post(patience, hang_up=draw.uniform(0.001, 0.08))
+            result = viewer.post(patience, hang_up=rng.uniform(0.001, 0.08))
             return result if result.status == 201 else None
         if arrival.habit == "repeats":
-            # Its timeout is short: it repeats the offer while the first request may still be in set-up.
-            first = viewer.post(patience, hang_up=draw.uniform(0.001, 0.08))
+            # The viewer has a short timeout: it repeats the offer while the first may still be in set-up.
+            first = viewer.post(patience, hang_up=rng.uniform(0.001, 0.08))
             return first if first.status else viewer.post(patience)
         if arrival.habit == "doubles":
             second = gevent.spawn(viewer.post, patience)
@@ -449,7 +454,7 @@
         gevent.sleep(wait)
         try:
             status = viewer.restart_ice().status if wait < 0.3 else viewer.trickle().status
-        except Exception as error:  # any outcome is logged
+        except Exception as error:  # whatever the failure is, it is logged as the status
             status = repr(error)
         self.log(viewer.name, "trickled", identity=viewer.identity, status=status)
 
