--- a/herongap/rehearsal/bench.py
+++ b/herongap/rehearsal/bench.py
@@ -14,10 +14,12 @@
 MAX_STREAMERS = 16
 MAX_CONTROLLERS = 4
 ARRIVALS_PER_SECOND = 45.0
-COLD_SET_UP_SLACK = 1.0  # set-ups above a cold streamer's limit; the bench allows a little for chance
+# Set-ups above a cold streamer's limit that the bench tolerates, as random variation can cause a few.
+COLD_SET_UP_SLACK = 1.0
 MEAN_VIEWING_WARM_UPS = 3.0  # mean length of a viewing at full size, in warm-up times
 MIN_REPORT_INTERVAL_SECONDS = 0.5
 MICROSECONDS = 1e6  # in a second; the bench's times are in microseconds
+DEFAULT_PART = 0.12  # of the streamers, for a fault that names none
 REPEAT_SAFETY = {"safe": "harmless", "keyed": "in_group", "unsafe": "harmful"}
 # The kinds of fault of the bench, and those of a rehearsal.
 FAULT_KINDS = {
@@ -44,7 +46,7 @@
 
 
 class InvalidBenchDayError(UnusableInputError):
-    """The file is not a day that the bench drew for this family."""
+    """The file is not a day that the bench generated for the streams family."""
 
     advice = "give a day as the bench writes it"
 
@@ -56,7 +58,7 @@
 
 
 def from_bench(drawn: dict, full_size: bool = False) -> Day:
-    """Converts a day that the bench drew: reduced for sockets, or at full size for the model.
+    """Converts a day that the bench generated: reduced for sockets, or at full size for the model.
 
     Raises UnplayableDayError or ValueError.
     """
@@ -83,15 +85,17 @@
     warm_up = kind["cold"] / MICROSECONDS
     utilization = drawn["traffic"]["load"]
     middle_rate = rates[len(rates) // 2]
-    # Sessions are shortened so that the links fill within a day. Arrivals fill the same share of the links,
-    # at the middle rate, as in the bench. Set-ups for each place are then more frequent than drawn. The model
-    # can handle more streamers, so sessions there stay long compared with the warm-up, during which a cold
-    # streamer fills each place once.
-    filled = utilization * streamers * link / middle_rate
-    length = MEAN_VIEWING_WARM_UPS * warm_up if full_size else max(1.0, filled / ARRIVALS_PER_SECOND)
-    size = DaySettings(
+    # In a rehearsal, sessions are shortened so that the links fill within a day: at the middle rate, arrivals
+    # fill the same share of the links as in the bench. Set-ups for each place are then more frequent than in
+    # the bench. The model can handle more streamers, so sessions there stay long compared with the warm-up,
+    # during which a cold streamer fills each place once.
+    concurrent_sessions = utilization * streamers * link / middle_rate
+    length = (
+        MEAN_VIEWING_WARM_UPS * warm_up if full_size else max(1.0, concurrent_sessions / ARRIVALS_PER_SECOND)
+    )
+    settings = DaySettings(
         seconds=seconds,
-        rate=filled / length if full_size else ARRIVALS_PER_SECOND,
+        rate=concurrent_sessions / length if full_size else ARRIVALS_PER_SECOND,
         controllers=controllers,
         streamers=streamers,
         zones=len(drawn["zones"]),
@@ -111,7 +115,7 @@
     uplink = sum(fam["uplink_kb"]) / len(fam["uplink_kb"]) * fam["racks"] / len(drawn["servers"])
     machines = StreamerSettings(
         link=link,
-        rack=uplink * streamers / size.racks,
+        rack=uplink * streamers / settings.racks,
         places=round(fam["core_slots"] * cores),
         full_from=fam["guard"],
         warm_up=warm_up,
@@ -139,7 +143,7 @@
         for package, use in zip(drawn["classes"], fam["uses"], strict=True)
     }
     clients = ClientSettings(returns=fam["returns"])
-    return Day(size, clients, machines, packages, dict(_troubles(drawn, streamers, seconds)))
+    return Day(settings, clients, machines, packages, dict(_troubles(drawn, streamers, seconds)))
 
 
 def _troubles(drawn: dict, streamers: int, seconds: float):
@@ -157,7 +161,8 @@
         elif kind == "controllers":
             part = max(len(trouble["on"]), 1) / balancer_count
         elif kind == "crowd":
-            # From a share of all traffic to a ratio of additional viewers to the usual ones.
+            # The bench gives the crowd's share of all traffic, a rehearsal the ratio of additional viewers to
+            # the usual ones.
             size = size / max(0.01, 1 - size)
         elif kind in ("late", "list_late"):
             extra = size
@@ -166,5 +171,7 @@
         name = f"{number} {trouble['kind']}"
         yield (
             name,
-            Trouble(kind=kind, at=at, lasts=lasts, part=min(1.0, part or 0.12), size=size, extra=extra),
+            Trouble(
+                kind=kind, at=at, lasts=lasts, part=min(1.0, part or DEFAULT_PART), size=size, extra=extra
+            ),
         )
