--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -111,7 +111,8 @@
     for client in noisy:
         with suppress(OSError):
             client.send_raw(b"noise\n" * 100)
-    gevent.sleep(0.1)
+    # Well before the time after which silent connections are closed.
+    w.until(lambda: not w.node.viewers.connections, herongap.limiter.MESSAGE_TIMEOUT_SECONDS / 2)
     assert not w.node.viewers.connections, "the controller waits for none of them"
     client = PlainPeer(w.address)
     # Clients that sent a valid message first are closed for new ones too, though their input is unread.
