--- a/herongap/daemon/keys.py
+++ b/herongap/daemon/keys.py
@@ -23,7 +23,7 @@
 log = structlog.get_logger()
 
 
-class WrongKey(UnusableInputError):  # noqa: N818  # the class name is logged as the cause  # noqa: N818  # the class name is logged as the cause
+class WrongKey(UnusableInputError):  # noqa: N818  # the class name is logged as the cause
     """A file that does not hold the key that its name states."""
 
     advice = "remove the file, or put the key back that belongs under this name"
